--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 PACKAGES := $(addsuffix /...,$(addprefix ./,$(CHECKED)))
 PROTOS := $(shell git ls-files '*.proto')
 
-.PHONY: build test demo bench experiments generate generated tools format names lint race
+.PHONY: build test demo bench experiments generate generated tools renamer format names lint race
 
 build:
 	go build -o $(BIN)/ ./node/cmd/... ./ctl/cmd/... ./objectstore/cmd/... ./upstream/cmd/... ./bench/cmd/...
@@ -24,6 +24,11 @@
 tools:
 	go build -o $(BIN)/ mvdan.cc/gofumpt github.com/mgechev/revive goa.design/goa/v3/cmd/goa google.golang.org/protobuf/cmd/protoc-gen-go
 
+# gopls, which renames identifiers across modules. It has a module outside of the
+# workspace, since it needs other versions of golang.org/x/tools.
+renamer:
+	cd tools/renamer && GOWORK=off go build -o $(BIN)/ golang.org/x/tools/gopls
+
 generate: tools
 	for f in $(PROTOS); do protoc --plugin=$(BIN)/protoc-gen-go --go_out=. --go_opt=paths=source_relative $$f || exit 1; done
 	$(BIN)/goa gen sycamorerun/api/design -o api
