--- a/node/tracker/tracker.go
+++ b/node/tracker/tracker.go
@@ -131,8 +131,8 @@
 	t.spread(nil)
 }
 
-// Measure takes the distance of the store from this node.
-func (t *Tracker) Measure(now time.Time, distance int) {
+// SetDistance takes the distance of the store from this node.
+func (t *Tracker) SetDistance(now time.Time, distance int) {
 	t.setup()
 	t.mu.Lock()
 	defer t.mu.Unlock()
