--- a/node/connector/tracker_test.go
+++ b/node/connector/tracker_test.go
@@ -23,7 +23,7 @@
 // received.
 func member(t testing.TB, name string, seed netip.AddrPort, heard *atomic.Int64, config *tls.Config, change func(*connector.Connector)) (*tracker.Tracker, *connector.Connector) {
 	t.Helper()
-	members := &tracker.Tracker{Seen: func(string, sycamorerun.Version) { heard.Add(1) }}
+	members := &tracker.Tracker{VersionSeen: func(string, sycamorerun.Version) { heard.Add(1) }}
 	peers, _ := start(t, name, config, func(c *connector.Connector) {
 		change(c)
 		c.Handlers["tracker"] = func(ctx context.Context, from connector.Peer, stream net.Conn) {
--- a/node/tracker/serve.go
+++ b/node/tracker/serve.go
@@ -64,8 +64,8 @@
 
 // seen passes on the version that a frame carries.
 func (t *Tracker) seen(peer string, frame *Frame) {
-	if beat := frame.GetHeartbeat(); beat != nil && t.Seen != nil {
-		t.Seen(peer, sycamorerun.Version(beat.GetVersion()))
+	if beat := frame.GetHeartbeat(); beat != nil && t.VersionSeen != nil {
+		t.VersionSeen(peer, sycamorerun.Version(beat.GetVersion()))
 	}
 }
 
--- a/node/tracker/tracker.go
+++ b/node/tracker/tracker.go
@@ -42,8 +42,8 @@
 	Seeds func(ctx context.Context) ([]netip.AddrPort, error)
 	// Version returns the configuration version in force here.
 	Version func() sycamorerun.Version
-	// Seen is told the version that a peer's heartbeat carries.
-	Seen func(peer string, version sycamorerun.Version)
+	// VersionSeen is told the version that a peer's heartbeat carries.
+	VersionSeen func(peer string, version sycamorerun.Version)
 	// Changed is called after the set of records changed.
 	Changed func()
 	Logger  log.Logger
