--- a/node/announcer/announcer.go
+++ b/node/announcer/announcer.go
@@ -218,8 +218,8 @@
 	return Accepted
 }
 
-// Refused notes that the upstream in use refused a connection.
-func (a *Announcer) Refused(now time.Time) {
+// ConnectionRefused notes that the upstream in use refused a connection.
+func (a *Announcer) ConnectionRefused(now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if !a.refused.IsZero() && now.Sub(a.refused) <= refusalWindow {
--- a/node/announcer/announcer_test.go
+++ b/node/announcer/announcer_test.go
@@ -172,7 +172,7 @@
 				case "expire":
 					a.Expire(now)
 				case "refused":
-					a.Refused(now)
+					a.ConnectionRefused(now)
 				case "reached":
 					a.Reached()
 				case "misdirected":
--- a/node/runner/upstream.go
+++ b/node/runner/upstream.go
@@ -70,7 +70,7 @@
 	case replaced:
 		return
 	case errors.Is(err, syscall.ECONNREFUSED):
-		u.announcer.Refused(now)
+		u.announcer.ConnectionRefused(now)
 	case errors.As(err, &failed) && failed.Reason == requester.ReasonMisdirected:
 		u.announcer.Misdirected(now, id)
 	case err == nil:
