--- a/node/announcer/announcer.go
+++ b/node/announcer/announcer.go
@@ -228,9 +228,9 @@
 	a.refused = now
 }
 
-// Reached notes that the upstream in use answered, which ends a row of refused
+// ConnectionSucceeded notes that the upstream in use answered, which ends a row of refused
 // connections.
-func (a *Announcer) Reached() {
+func (a *Announcer) ConnectionSucceeded() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.refused = time.Time{}
--- a/node/announcer/announcer_test.go
+++ b/node/announcer/announcer_test.go
@@ -174,7 +174,7 @@
 				case "refused":
 					a.ConnectionRefused(now)
 				case "reached":
-					a.Reached()
+					a.ConnectionSucceeded()
 				case "misdirected":
 					a.Misdirected(now, s.id)
 				default:
--- a/node/runner/upstream.go
+++ b/node/runner/upstream.go
@@ -74,7 +74,7 @@
 	case errors.As(err, &failed) && failed.Reason == requester.ReasonMisdirected:
 		u.announcer.Misdirected(now, id)
 	case err == nil:
-		u.announcer.Reached()
+		u.announcer.ConnectionSucceeded()
 		return
 	default:
 		return
