--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -139,12 +139,12 @@
 		Open: func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 			return n.connector.Open(ctx, to, kindTracker)
 		},
-		Plan:    n.fleet.plan,
-		Version: func() sycamorerun.Version { return n.distributor.Held() },
-		VersionSeen:    func(peer string, version sycamorerun.Version) { n.distributor.Heard(peer, version) },
-		Changed: n.membersChanged,
-		Logger:  n.logger,
-		Scope:   n.scope,
+		Plan:        n.fleet.plan,
+		Version:     func() sycamorerun.Version { return n.distributor.Held() },
+		VersionSeen: func(peer string, version sycamorerun.Version) { n.distributor.Heard(peer, version) },
+		Changed:     n.membersChanged,
+		Logger:      n.logger,
+		Scope:       n.scope,
 	}
 	n.seeder = &seeder.Seeder{
 		Self: n.self, Store: n.store, Fixed: n.settings.Seeds,
