--- a/node/tracker/codec.go
+++ b/node/tracker/codec.go
@@ -13,31 +13,33 @@
 
 // Limits of a received record.
 const (
-	nameBytes = 253
-	zonesMost = 64
-	slotsMost = 1 << 20
-	// distanceMost is above the bucket of any latency that a call can have.
-	distanceMost = 64
+	maxNameBytes        = 253
+	maxUnreachableZones = 64
+	maxSlots            = 1 << 20
+	// maxDistance is above the bucket of any latency that a store call can
+	// have.
+	maxDistance = 64
 )
 
-// states maps the numbers on the wire.
-var states = []sycamorerun.State{
+// wireStates maps the state numbers on the wire to states.
+var wireStates = []sycamorerun.State{
 	sycamorerun.StateNone, sycamorerun.StateCold, sycamorerun.StateReady,
 	sycamorerun.StateDraining, sycamorerun.StateLeft,
 }
 
-// sinceMost bounds the age of a state. No slow start takes as long.
-const sinceMost = 24 * time.Hour
+// maxStateAge bounds the age of a state. No slow start takes longer.
+const maxStateAge = 24 * time.Hour
 
-func milli(age time.Duration) uint64 { return uint64(max(age, 0) / time.Millisecond) }
+func milliseconds(age time.Duration) uint64 { return uint64(max(age, 0) / time.Millisecond) }
 
-// before returns the time that was age milliseconds ago, at most a bound.
-func before(now time.Time, age uint64, most time.Duration) time.Time {
-	return now.Add(-time.Duration(min(age, uint64(most/time.Millisecond))) * time.Millisecond)
+// timeOfAge returns the time age milliseconds before now. The age is capped at
+// limit.
+func timeOfAge(now time.Time, age uint64, limit time.Duration) time.Time {
+	return now.Add(-time.Duration(min(age, uint64(limit/time.Millisecond))) * time.Millisecond)
 }
 
-// encode converts a record to its message. Ages let the receiver start its
-// timers at the right time without comparing clocks.
+// encode converts a record to its wire message. It carries ages instead of
+// times, so that the receiver can start its timers without synchronized clocks.
 func encode(now time.Time, r *record) *Record {
 	address, _ := r.Address.MarshalBinary()
 	message := &Record{
@@ -48,24 +50,25 @@
 		AvailabilityZone: r.AvailabilityZone,
 		Region:           r.Region,
 		Service:          r.Service,
-		State:            uint32(slices.Index(states, r.State)),
+		State:            uint32(slices.Index(wireStates, r.State)),
 		Slots:            uint32(r.Slots),
 		Distance:         int32(r.Distance),
-		SinceAgeMilli:    milli(now.Sub(r.Since)),
+		SinceAgeMilli:    milliseconds(now.Sub(r.Since)),
 		Suspected:        r.suspected(),
 		Unreachable:      r.unreachable,
 	}
-	if r.timed() {
-		message.AgeMilli = milli(now.Sub(r.since))
+	if r.expires() {
+		message.AgeMilli = milliseconds(now.Sub(r.inactiveSince))
 	}
 	return message
 }
 
-// decode checks a received message. Its health is alive or suspect.
+// decode validates a received message and converts it. The health of the result
+// is alive or suspect.
 func decode(now time.Time, message *Record) (*record, error) {
 	address := netip.AddrPort{}
 	if err := address.UnmarshalBinary(message.GetAddress()); err != nil || !address.IsValid() {
-		return nil, errors.Errorf("record of %q with invalid address", message.GetName())
+		return nil, errors.Errorf("record of %q has an invalid address", message.GetName())
 	}
 	if err := checkMessage(message); err != nil {
 		return nil, err
@@ -79,13 +82,13 @@
 			AvailabilityZone: intern(message.GetAvailabilityZone()),
 			Region:           intern(message.GetRegion()),
 			Service:          intern(message.GetService()),
-			State:            states[message.GetState()],
+			State:            wireStates[message.GetState()],
 			Slots:            int(message.GetSlots()),
 			Distance:         int(message.GetDistance()),
-			Since:            before(now, message.GetSinceAgeMilli(), sinceMost),
+			Since:            timeOfAge(now, message.GetSinceAgeMilli(), maxStateAge),
 		},
-		since: before(now, message.GetAgeMilli(), retention),
-		key:   newKey(message.GetName()),
+		inactiveSince: timeOfAge(now, message.GetAgeMilli(), retention),
+		key:           newKey(message.GetName()),
 	}
 	for _, zone := range message.GetUnreachable() {
 		r.unreachable = append(r.unreachable, intern(zone))
@@ -99,32 +102,32 @@
 func checkMessage(message *Record) error {
 	texts := append([]string{message.GetName(), message.GetAvailabilityZone(), message.GetRegion()}, message.GetUnreachable()...)
 	for _, text := range texts {
-		if text == "" || len(text) > nameBytes {
-			return errors.Errorf("record of %.64q with a name of %d bytes, want 1 to %d", message.GetName(), len(text), nameBytes)
+		if text == "" || len(text) > maxNameBytes {
+			return errors.Errorf("record of %.64q has a name, zone or region of %d bytes, want 1 to %d", message.GetName(), len(text), maxNameBytes)
 		}
 	}
 	switch {
-	case len(message.GetService()) > nameBytes:
-		return errors.Errorf("record of %q with a service of %d bytes", message.GetName(), len(message.GetService()))
-	case int(message.GetState()) >= len(states):
-		return errors.Errorf("record of %q with unknown state %d", message.GetName(), message.GetState())
+	case len(message.GetService()) > maxNameBytes:
+		return errors.Errorf("record of %q has a service name of %d bytes, which exceeds the limit", message.GetName(), len(message.GetService()))
+	case int(message.GetState()) >= len(wireStates):
+		return errors.Errorf("record of %q has unknown state %d", message.GetName(), message.GetState())
 	case !sycamorerun.Incarnation(message.GetIncarnation()).Valid():
-		return errors.Errorf("record of %q with incarnation %d", message.GetName(), message.GetIncarnation())
-	case message.GetSequence() > sequenceMost:
-		return errors.Errorf("record of %q with sequence %d", message.GetName(), message.GetSequence())
-	case len(message.GetUnreachable()) > zonesMost:
-		return errors.Errorf("record of %q with %d zones", message.GetName(), len(message.GetUnreachable()))
-	case message.GetDistance() < sycamorerun.Unreachable || message.GetDistance() > distanceMost:
-		return errors.Errorf("record of %q with distance %d", message.GetName(), message.GetDistance())
-	case message.GetSlots() > slotsMost:
-		return errors.Errorf("record of %q with %d slots", message.GetName(), message.GetSlots())
+		return errors.Errorf("record of %q has invalid incarnation %d", message.GetName(), message.GetIncarnation())
+	case message.GetSequence() > maxSequence:
+		return errors.Errorf("record of %q has sequence %d, which exceeds the limit", message.GetName(), message.GetSequence())
+	case len(message.GetUnreachable()) > maxUnreachableZones:
+		return errors.Errorf("record of %q lists %d unreachable zones, which exceeds the limit", message.GetName(), len(message.GetUnreachable()))
+	case message.GetDistance() < sycamorerun.Unreachable || message.GetDistance() > maxDistance:
+		return errors.Errorf("record of %q has distance %d, which is out of range", message.GetName(), message.GetDistance())
+	case message.GetSlots() > maxSlots:
+		return errors.Errorf("record of %q has %d slots, which exceeds the limit", message.GetName(), message.GetSlots())
 	}
 	return nil
 }
 
-// sequenceMost leaves room for the suspicion bit of a stamp and for
-// refutations: a record at the largest number could never be refuted.
-const sequenceMost = 1 << 62
+// maxSequence leaves room for the suspicion bit of a stamp and for refutations:
+// a record at the largest sequence could not be refuted.
+const maxSequence = 1 << 62
 
-// intern shares the strings that many records repeat.
+// intern shares the memory of strings that many records repeat.
 func intern(text string) string { return unique.Make(text).Value() }
--- a/node/tracker/contact.go
+++ b/node/tracker/contact.go
@@ -11,52 +11,54 @@
 )
 
 const (
-	// Bounds of the delay between contacts while there is no link.
-	joinLeast = 100 * time.Millisecond
-	joinMost  = 10 * time.Second
-	// contacts is the number of seeds that one round tries.
-	contacts = 3
-	// healers is the expected number of nodes on each side of a partition
-	// that try to reach a lost node in an interval. It bounds the dials to a
-	// failed node's address, whatever the size of the fleet.
-	healers = 16
-	// reseeding divides the healers that contact a seed instead, which joins
-	// groups that have forgotten each other.
-	reseeding = 12
+	// minJoinDelay and maxJoinDelay bound the delay between attempts to contact
+	// seeds while there is no link.
+	minJoinDelay = 100 * time.Millisecond
+	maxJoinDelay = 10 * time.Second
+	// seedsPerRound is the number of seeds that one round tries.
+	seedsPerRound = 3
+	// reconnectingNodes is the expected number of nodes on each side of a
+	// partition that try to reach a failed node in one heal interval. It bounds
+	// the dials to a failed node's address independently of the size of the
+	// fleet.
+	reconnectingNodes = 16
+	// One in seedContactOdds attempts to reconnect also contacts a seed, which
+	// joins groups of nodes that no longer have records of each other.
+	seedContactOdds = 12
 )
 
-// join contacts seeds while this node has no link.
+// join contacts seeds as long as this node has no link.
 func (t *Tracker) join(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		if t.linked() {
+		if t.hasLinks() {
 			failures = 0
-			sleep(ctx, joinLeast)
+			sleep(ctx, minJoinDelay)
 			continue
 		}
-		t.contact(ctx, contacts)
+		t.contactSeeds(ctx, seedsPerRound)
 		sleep(ctx, jitter(failures))
 		failures++
 	}
 }
 
-// jitter returns a delay with full jitter.
+// jitter returns an exponential backoff delay with full jitter.
 func jitter(failures int) time.Duration {
-	bound := joinMost
+	bound := maxJoinDelay
 	if failures < 7 {
-		bound = min(bound, joinLeast<<failures)
+		bound = min(bound, minJoinDelay<<failures)
 	}
 	return rand.N(bound) + 1
 }
 
-func (t *Tracker) linked() bool {
+func (t *Tracker) hasLinks() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.links) > 0
 }
 
-// contact tries up to n seeds in random order until one answers.
-func (t *Tracker) contact(ctx context.Context, n int) {
+// contactSeeds tries up to n seeds in random order until a link to one is open.
+func (t *Tracker) contactSeeds(ctx context.Context, n int) {
 	if t.Seeds == nil {
 		return
 	}
@@ -65,7 +67,7 @@
 		return
 	}
 	if err != nil {
-		level.Warn(t.Logger).Log("msg", "no seeds", "err", err)
+		level.Warn(t.Logger).Log("msg", "reading the seed addresses failed", "err", err)
 		return
 	}
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
@@ -81,35 +83,37 @@
 		if err == nil {
 			return
 		}
-		level.Debug(t.Logger).Log("msg", "seed not reached", "address", seed, "err", err)
+		level.Debug(t.Logger).Log("msg", "opening a link to a seed failed", "address", seed, "err", err)
 	}
 }
 
-// discover looks for groups of nodes that this one does not know. Nodes that
-// start at the same time can form such groups: each has links within its own
-// and so contacts no more seeds. Only the first member of an availability
-// zone does this, so that the seeds are read once per zone and interval.
+// discover looks for groups of nodes that this node has no records of. Nodes
+// that start at the same time can form separate groups: each node has a link
+// within its group and therefore contacts no more seeds. Only the first member
+// of an availability zone runs discovery, so that the seeds are read once per
+// zone and interval.
 func (t *Tracker) discover(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		bound := t.timing.discoveryMost
+		bound := t.timing.maxDiscoveryInterval
 		if n < 4 {
-			bound = min(bound, t.timing.discovery<<n)
+			bound = min(bound, t.timing.minDiscoveryInterval<<n)
 		}
 		sleep(ctx, bound/2+rand.N(bound/2))
 		if ctx.Err() == nil && t.Plan().Seed {
-			t.contactUnknown(ctx)
+			t.contactUnknownSeeds(ctx)
 		}
 	}
 }
 
-// contactUnknown opens links to a few seeds that are no known member's.
-func (t *Tracker) contactUnknown(ctx context.Context) {
+// contactUnknownSeeds opens links to some of the seeds that belong to no known
+// member.
+func (t *Tracker) contactUnknownSeeds(ctx context.Context) {
 	if t.Seeds == nil {
 		return
 	}
 	seeds, err := t.Seeds(ctx)
 	if err != nil {
-		level.Debug(t.Logger).Log("msg", "seeds not read", "err", err)
+		level.Debug(t.Logger).Log("msg", "reading the seed addresses failed", "err", err)
 		return
 	}
 	known := map[netip.AddrPort]bool{t.Self.Address: true}
@@ -118,90 +122,92 @@
 	}
 	seeds = slices.DeleteFunc(slices.Clone(seeds), func(a netip.AddrPort) bool { return known[a] })
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
-	for _, seed := range seeds[:min(len(seeds), contacts)] {
+	for _, seed := range seeds[:min(len(seeds), seedsPerRound)] {
 		t.tasks.Go(func() {
 			if err := t.connect(ctx, seed, ""); err != nil {
-				level.Debug(t.Logger).Log("msg", "seed not reached", "address", seed, "err", err)
+				level.Debug(t.Logger).Log("msg", "opening a link to a seed failed", "address", seed, "err", err)
 			}
 		})
 	}
 }
 
-// heal tries to reach nodes and availability zones that were lost. A link to
-// one of them exchanges the records of both sides.
+// heal tries to reconnect to failed nodes and unreachable availability zones. A
+// new link synchronizes the records of both sides.
 func (t *Tracker) heal(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, t.timing.healing/2+rand.N(t.timing.healing))
-		for _, zone := range t.claimedZones() {
+		sleep(ctx, t.timing.healInterval/2+rand.N(t.timing.healInterval))
+		for _, zone := range t.reportedZones() {
 			t.retryZone(ctx, zone)
 		}
-		t.confirmZones(ctx)
-		t.retryLost(ctx)
+		t.probeReportedZones(ctx)
+		t.retryFailed(ctx)
 	}
 }
 
-func (t *Tracker) claimedZones() []string {
+func (t *Tracker) reportedZones() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.records[t.Self.Name].unreachable
 }
 
-// retryZone withdraws the claim when a member of the zone answers. A zone
-// without records can't be tried; its nodes come back by themselves.
+// retryZone withdraws the unreachability report when a member of the zone
+// answers. A zone without records can't be probed; its nodes rejoin through
+// their own attempts.
 func (t *Tracker) retryZone(ctx context.Context, zone string) {
 	t.mu.Lock()
-	others := t.table.sample(zone, "", 1)
+	members := t.table.sample(zone, "", 1)
 	t.mu.Unlock()
-	for _, r := range others {
+	for _, r := range members {
 		if t.connect(ctx, r.Address, r.Name) != nil {
 			return
 		}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.table.withdraw(time.Now(), zone)
-	t.spread(nil)
+	t.table.withdrawReport(time.Now(), zone)
+	t.flood(nil)
 }
 
-// confirmZones makes the first member of an availability zone try the zones
-// that other zones can't reach.
-func (t *Tracker) confirmZones(ctx context.Context) {
-	for zone, others := range t.unconfirmed() {
-		lost := t.probe(ctx, others)
-		if ctx.Err() != nil || len(others) < probesLeast || len(lost) < len(others) {
+// probeReportedZones probes the zones that other zones report as unreachable,
+// if this node is the first member of its availability zone.
+func (t *Tracker) probeReportedZones(ctx context.Context) {
+	for zone, members := range t.unconfirmedZones() {
+		failed := t.probe(ctx, members)
+		if ctx.Err() != nil || len(members) < minProbes || len(failed) < len(members) {
 			continue
 		}
 		t.mu.Lock()
-		t.table.claim(time.Now(), zone)
-		t.spread(nil)
+		t.table.reportUnreachable(time.Now(), zone)
+		t.flood(nil)
 		t.mu.Unlock()
 	}
 }
 
-func (t *Tracker) unconfirmed() map[string][]*record {
+func (t *Tracker) unconfirmedZones() map[string][]*record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	zones := map[string][]*record{}
-	own := t.table.records[t.Self.Name].AvailabilityZone
-	for zone := range t.table.claims {
-		if t.seed && zone != own && !t.table.claimedBy(own, zone) {
-			zones[zone] = t.table.sample(zone, "", probes)
+	ownZone := t.table.records[t.Self.Name].AvailabilityZone
+	for zone := range t.table.reports {
+		if t.seed && zone != ownZone && !t.table.reportedBy(ownZone, zone) {
+			zones[zone] = t.table.sample(zone, "", maxProbes)
 		}
 	}
 	return zones
 }
 
-// retryLost tries a failed node, or now and then a seed.
-func (t *Tracker) retryLost(ctx context.Context) {
+// retryFailed tries to reconnect to a failed node, and occasionally contacts a
+// seed.
+func (t *Tracker) retryFailed(ctx context.Context) {
 	t.mu.Lock()
 	members := len(t.table.live())
-	r := t.table.lost()
+	r := t.table.randomFailed()
 	t.mu.Unlock()
-	if rand.IntN(members+1) > healers {
+	if rand.IntN(members+1) > reconnectingNodes {
 		return
 	}
-	if rand.IntN(reseeding) == 0 {
-		t.contact(ctx, 1)
+	if rand.IntN(seedContactOdds) == 0 {
+		t.contactSeeds(ctx, 1)
 	}
 	if r != nil {
 		_ = t.connect(ctx, r.Address, r.Name)
--- a/node/tracker/digest.go
+++ b/node/tracker/digest.go
@@ -10,29 +10,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount is the number of parts of the record set. With 9,800 records a
-// part has about 38, so that finding one difference costs 2 KB for the parts'
-// digests and about 1 KB for the entries of one part.
+// bucketCount is the number of buckets that the records are divided into by the
+// hash of their names. With 9,800 records a bucket has about 38, so that
+// finding one difference costs 2 KB for the digests of the buckets and about 1
+// KB for the entries of one bucket.
 const bucketCount = 256
 
 func bucket(key uint64) int { return int(key >> 56) }
 
-func (t *table) share(now time.Time, r *record) {
-	if r.timed() && now.Sub(r.since) >= sharing {
+func (t *table) addToDigest(now time.Time, r *record) {
+	if r.expires() && now.Sub(r.inactiveSince) >= digestRetention {
 		return
 	}
-	r.shared = true
-	t.buckets[bucket(r.key)] += r.sum()
+	r.inDigest = true
+	t.buckets[bucket(r.key)] += r.checksum()
 }
 
-func (t *table) unshare(r *record) {
-	if r.shared {
-		r.shared = false
-		t.buckets[bucket(r.key)] -= r.sum()
+func (t *table) removeFromDigest(r *record) {
+	if r.inDigest {
+		r.inDigest = false
+		t.buckets[bucket(r.key)] -= r.checksum()
 	}
 }
 
-// digest is equal on two nodes with the same records.
+// digest returns a hash over all buckets. It is equal on two nodes with the
+// same records.
 func (t *table) digest() uint64 {
 	var data [8 * bucketCount]byte
 	for i, sum := range t.buckets {
@@ -41,8 +43,8 @@
 	return xxhash.Sum64(data[:])
 }
 
-// differing returns the parts in which a peer's digests differ.
-func (t *table) differing(buckets []uint64) []uint32 {
+// differingBuckets returns the buckets whose digests differ from the peer's.
+func (t *table) differingBuckets(buckets []uint64) []uint32 {
 	if len(buckets) != bucketCount {
 		return nil
 	}
@@ -55,12 +57,12 @@
 	return list
 }
 
-// listEntries writes the entries of some parts to a frame.
+// listEntries adds the entries of the given buckets to a frame.
 func (t *table) listEntries(frame *Frame, buckets []uint32) {
 	frame.EntryBuckets = buckets
-	wanted := wantedBuckets(buckets)
+	wanted := bucketSet(buckets)
 	for _, r := range t.records {
-		if r.shared && wanted[bucket(r.key)] {
+		if r.inDigest && wanted[bucket(r.key)] {
 			frame.EntryKeys = append(frame.EntryKeys, r.key)
 			frame.EntryIncarnations = append(frame.EntryIncarnations, int64(r.Incarnation))
 			frame.EntryStamps = append(frame.EntryStamps, r.stamp())
@@ -68,20 +70,20 @@
 	}
 }
 
-func wantedBuckets(buckets []uint32) *[bucketCount]bool {
-	wanted := &[bucketCount]bool{}
+func bucketSet(buckets []uint32) *[bucketCount]bool {
+	set := &[bucketCount]bool{}
 	for _, i := range buckets {
 		if i < bucketCount {
-			wanted[i] = true
+			set[i] = true
 		}
 	}
-	return wanted
+	return set
 }
 
-// compare goes through a peer's entries. It returns the names of the records
-// that the peer lacks or has in an older form, and the keys of those that this
-// node lacks or has in an older form.
-func (t *table) compare(frame *Frame) (names []string, wants []uint64) {
+// compareEntries compares a peer's entries with the records of the same
+// buckets. It returns the names of the records that are missing or older at the
+// peer, and the keys of those that are missing or older at this node.
+func (t *table) compareEntries(frame *Frame) (names []string, wants []uint64) {
 	type entry struct {
 		incarnation int64
 		stamp       uint64
@@ -91,7 +93,7 @@
 	for i, key := range keys[:min(len(keys), len(frame.GetEntryIncarnations()), len(frame.GetEntryStamps()))] {
 		entries[key] = entry{frame.GetEntryIncarnations()[i], frame.GetEntryStamps()[i]}
 	}
-	wanted := wantedBuckets(frame.GetEntryBuckets())
+	wanted := bucketSet(frame.GetEntryBuckets())
 	for _, r := range t.records {
 		if !wanted[bucket(r.key)] {
 			continue
@@ -100,7 +102,7 @@
 		delete(entries, r.key)
 		order := cmp.Or(cmp.Compare(int64(r.Incarnation), theirs.incarnation), cmp.Compare(r.stamp(), theirs.stamp))
 		switch {
-		case r.shared && (!ok || order > 0):
+		case r.inDigest && (!ok || order > 0):
 			names = append(names, r.Name)
 		case ok && order < 0:
 			wants = append(wants, r.key)
@@ -109,8 +111,8 @@
 	return names, slices.AppendSeq(wants, maps.Keys(entries))
 }
 
-// named returns the names of the records with some keys.
-func (t *table) named(keys []uint64) []string {
+// recordNames returns the names of the records with the given keys.
+func (t *table) recordNames(keys []uint64) []string {
 	if len(keys) == 0 {
 		return nil
 	}
--- a/node/tracker/link.go
+++ b/node/tracker/link.go
@@ -11,50 +11,53 @@
 )
 
 const (
-	// frameBytes bounds a received frame; recordBytes is where a sender starts
-	// another frame. One record is at most about 17 KB.
-	frameBytes  = 1 << 20
-	recordBytes = 256 << 10
-	// batch is how long records wait for others on the same link. Ten hops
-	// from a leaf to a leaf in another region take half a second.
-	batch = 50 * time.Millisecond
-	// writing bounds the sending of one frame.
-	writing = 3 * time.Second
-	// mismatchMost is the number of heartbeats with a differing digest after
-	// which the records are exchanged again. Records that are on their way
-	// make digests differ for a moment.
-	mismatchMost = 3
+	// maxFrameBytes bounds a received frame. recordBatchBytes is the size of
+	// the records in a frame after which a sender starts another frame. One
+	// record is at most about 17 KB.
+	maxFrameBytes    = 1 << 20
+	recordBatchBytes = 256 << 10
+	// batchDelay is how long records wait to be sent together with further
+	// records on the same link. With it, ten hops from a leaf to a leaf in
+	// another region take half a second.
+	batchDelay = 50 * time.Millisecond
+	// writeTimeout bounds the sending of one frame.
+	writeTimeout = 3 * time.Second
+	// exchangeMismatches is the number of consecutive heartbeats with a
+	// differing digest after which the records are synchronized again. Records
+	// in flight make digests differ briefly.
+	exchangeMismatches = 3
 )
 
-// link is a stream to a peer's tracker.
+// link is an open stream to a peer's tracker.
 type link struct {
 	peer string
 	conn net.Conn
-	// opened says that this end opened the stream.
-	opened  bool
-	started time.Time
-	signal  chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	// outbound is set if this node opened the stream.
+	outbound bool
+	started  time.Time
+	signal   chan struct{}
+	done     chan struct{}
+	once     sync.Once
 
 	// The tracker's mutex guards the fields below.
 
-	heard    time.Time
-	unwanted time.Time
-	// dirty names the records to send.
+	lastReceived   time.Time
+	unplannedSince time.Time
+	// dirty holds the names of the records to send.
 	dirty map[string]struct{}
-	// beat, compare, entries and wants say what else to send.
-	beat       bool
-	compare    bool
-	entries    []uint32
-	wants      []uint64
-	mismatches int
-	writing    bool
+	// sendHeartbeat, sendBuckets, entryBuckets and wants select what the next
+	// frame carries besides records.
+	sendHeartbeat bool
+	sendBuckets   bool
+	entryBuckets  []uint32
+	wants         []uint64
+	mismatches    int
+	writing       bool
 }
 
-func newLink(now time.Time, conn net.Conn, opened bool) *link {
+func newLink(now time.Time, conn net.Conn, outbound bool) *link {
 	return &link{
-		conn: conn, opened: opened, started: now, heard: now,
+		conn: conn, outbound: outbound, started: now, lastReceived: now,
 		signal: make(chan struct{}, 1), done: make(chan struct{}),
 		dirty: map[string]struct{}{},
 	}
@@ -67,11 +70,11 @@
 	}
 }
 
-// write sends frames. The deadline keeps a peer that doesn't read from
-// holding the writer.
+// write sends frames. The write deadline keeps a peer that doesn't read from
+// blocking the sender.
 func (l *link) write(frames []*Frame) error {
 	for _, frame := range frames {
-		_ = l.conn.SetWriteDeadline(time.Now().Add(writing))
+		_ = l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := encoder.Write(l.conn, frame); err != nil {
 			return err
 		}
@@ -79,29 +82,31 @@
 	return nil
 }
 
-// preferOld decides between two links to the same peer. Both ends may have
-// opened one at about the same time and have to keep the same one: the one
-// that the lower name opened. Later, the newer one counts.
-func preferOld(old, fresh *link, self string, window time.Duration) bool {
-	if old.opened == fresh.opened || fresh.started.Sub(old.started) >= window {
+// keepExisting reports which of two links to the same peer stays open. Two
+// nodes may dial each other at about the same time and have to keep the same
+// link: the one that the node with the lower name opened. Otherwise the newer
+// link replaces the older one.
+func keepExisting(existing, newer *link, self string, window time.Duration) bool {
+	if existing.outbound == newer.outbound || newer.started.Sub(existing.started) >= window {
 		return false
 	}
-	return old.opened == (self < old.peer)
+	return existing.outbound == (self < existing.peer)
 }
 
-// compose takes all that waits to be sent on a link.
-func (t *table) compose(now time.Time, l *link, version uint64) []*Frame {
+// buildFrames returns frames with everything that is pending on a link, and
+// clears it.
+func (t *table) buildFrames(now time.Time, l *link, version uint64) []*Frame {
 	first := &Frame{Wants: l.wants}
-	if l.beat {
+	if l.sendHeartbeat {
 		first.Heartbeat = &Heartbeat{Version: version, Digest: t.digest()}
 	}
-	if l.compare {
+	if l.sendBuckets {
 		first.Buckets = append(first.Buckets, t.buckets[:]...)
 	}
-	if l.entries != nil {
-		t.listEntries(first, l.entries)
+	if l.entryBuckets != nil {
+		t.listEntries(first, l.entryBuckets)
 	}
-	l.beat, l.compare, l.entries, l.wants = false, false, nil, nil
+	l.sendHeartbeat, l.sendBuckets, l.entryBuckets, l.wants = false, false, nil, nil
 	frames := []*Frame{first}
 	last, size := first, 0
 	for name := range l.dirty {
@@ -110,7 +115,7 @@
 			continue
 		}
 		message := encode(now, r)
-		if size += proto.Size(message); size > recordBytes {
+		if size += proto.Size(message); size > recordBatchBytes {
 			last, size = &Frame{}, proto.Size(message)
 			frames = append(frames, last)
 		}
@@ -120,63 +125,65 @@
 	return frames
 }
 
-// take applies a received frame. It stops at the first invalid record.
-func (t *table) take(now time.Time, l *link, frame *Frame) error {
-	l.heard = now
+// applyFrame applies a received frame. It stops at the first invalid record.
+func (t *table) applyFrame(now time.Time, l *link, frame *Frame) error {
+	l.lastReceived = now
 	for _, message := range frame.GetRecords() {
-		in, err := decode(now, message)
+		received, err := decode(now, message)
 		if err != nil {
 			return err
 		}
-		t.merge(now, in)
-		if frame.GetFrom() == in.Name && t.overtakes(in) {
-			// The run that has just begun learns at once that it has to move above
-			// an earlier one.
-			l.mark([]string{in.Name})
+		t.merge(now, received)
+		if frame.GetFrom() == received.Name && t.supersededByOtherRun(received) {
+			// A restarted node learns at once that it has to supersede the
+			// record of an earlier run.
+			l.markDirty([]string{received.Name})
 		}
-		if old := t.records[in.Name]; old != nil && !old.Newer(in.Instance) && old.stamp() <= in.stamp() {
-			delete(l.dirty, in.Name)
+		if stored := t.records[received.Name]; stored != nil && !stored.Newer(received.Instance) && stored.stamp() <= received.stamp() {
+			delete(l.dirty, received.Name)
 		}
 	}
-	if beat := frame.GetHeartbeat(); beat != nil {
-		t.check(l, beat.GetDigest())
+	if heartbeat := frame.GetHeartbeat(); heartbeat != nil {
+		t.checkDigest(l, heartbeat.GetDigest())
 	}
 	if buckets := frame.GetBuckets(); len(buckets) > 0 {
-		l.entries = t.differing(buckets)
+		l.entryBuckets = t.differingBuckets(buckets)
 	}
 	if len(frame.GetEntryBuckets()) > 0 {
-		names, wants := t.compare(frame)
+		names, wants := t.compareEntries(frame)
 		l.wants = wants
-		l.mark(names)
+		l.markDirty(names)
 	}
-	l.mark(t.named(frame.GetWants()))
+	l.markDirty(t.recordNames(frame.GetWants()))
 	return nil
 }
 
-// check compares the digest of a heartbeat with the own one. The end that
-// accepted the stream starts the exchange, at once on a new link.
-func (t *table) check(l *link, digest uint64) {
+// checkDigest compares the digest of a heartbeat with this node's. The node
+// that accepted the stream starts the synchronization: at once on a new link,
+// later after exchangeMismatches mismatches.
+func (t *table) checkDigest(l *link, digest uint64) {
 	if digest == t.digest() {
 		l.mismatches = 0
 		return
 	}
-	fresh := l.mismatches == 0 && l.peer == ""
+	firstMismatch := l.mismatches == 0 && l.peer == ""
 	l.mismatches++
-	l.compare = l.compare || !l.opened && (fresh || l.mismatches%mismatchMost == 0)
+	l.sendBuckets = l.sendBuckets || !l.outbound && (firstMismatch || l.mismatches%exchangeMismatches == 0)
 }
 
-func (l *link) mark(names []string) {
+func (l *link) markDirty(names []string) {
 	for _, name := range names {
 		l.dirty[name] = struct{}{}
 	}
 }
 
-// urgent reports whether something other than records waits to be sent.
+// urgent reports whether anything other than records is pending. It is sent
+// without the batch delay.
 func (l *link) urgent() bool {
-	return l.beat || l.compare || l.entries != nil || l.wants != nil
+	return l.sendHeartbeat || l.sendBuckets || l.entryBuckets != nil || l.wants != nil
 }
 
-// close ends the link for all that wait on it.
+// close closes the connection and signals done.
 func (l *link) close() {
 	l.once.Do(func() {
 		close(l.done)
--- a/node/tracker/neighbour.go
+++ b/node/tracker/neighbour.go
@@ -12,18 +12,18 @@
 	"sycamorerun/node/planner"
 )
 
-// neighbour is a peer that the plan links to.
+// neighbour is a peer to which the plan has a link.
 type neighbour struct {
 	name    string
 	address netip.AddrPort
-	// opens says that this end opens the link.
-	opens  bool
+	// dials is set if this node opens the link.
+	dials  bool
 	cancel context.CancelFunc
 }
 
-// wanted returns the peers of a plan. The child opens the link to its parent;
-// between regions, the lower name opens.
-func wanted(self string, plan planner.Plan) map[string]*neighbour {
+// plannedNeighbours returns the peers of a plan. A child dials its parent;
+// between regions, the node with the lower name dials.
+func plannedNeighbours(self string, plan planner.Plan) map[string]*neighbour {
 	peers := map[string]*neighbour{}
 	for _, link := range plan.Links {
 		n := peers[link.Name]
@@ -31,20 +31,20 @@
 			n = &neighbour{name: link.Name, address: link.Address}
 			peers[link.Name] = n
 		}
-		n.opens = n.opens || link.Role == planner.RoleParent || link.Role == planner.RoleRegion && self < link.Name
+		n.dials = n.dials || link.Role == planner.RoleParent || link.Role == planner.RoleRegion && self < link.Name
 	}
 	return peers
 }
 
-// reconcile starts and stops neighbours to match a plan.
+// reconcile starts and stops the tasks that maintain links, to match a plan.
 func (t *Tracker) reconcile(ctx context.Context, plan planner.Plan) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seed = plan.Seed
-	peers := wanted(t.Self.Name, plan)
+	peers := plannedNeighbours(t.Self.Name, plan)
 	for name, n := range t.neighbours {
 		next := peers[name]
-		if next == nil || next.address != n.address || next.opens != n.opens {
+		if next == nil || next.address != n.address || next.dials != n.dials {
 			n.cancel()
 			delete(t.neighbours, name)
 		}
@@ -54,53 +54,53 @@
 			continue
 		}
 		t.neighbours[name] = n
-		var own context.Context
-		own, n.cancel = context.WithCancel(ctx)
-		t.tasks.Go(func() { t.keep(own, n) })
+		var linkCtx context.Context
+		linkCtx, n.cancel = context.WithCancel(ctx)
+		t.tasks.Go(func() { t.maintainLink(linkCtx, n) })
 	}
 }
 
-// keep holds a link with a neighbour until ctx ends.
-func (t *Tracker) keep(ctx context.Context, n *neighbour) {
-	heard := time.Now()
-	lost := heard
+// maintainLink keeps a link with a neighbour open until ctx ends.
+func (t *Tracker) maintainLink(ctx context.Context, n *neighbour) {
+	lastReceived := time.Now()
+	lostAt := lastReceived
 	for ctx.Err() == nil {
-		if l := t.link(n.name); l != nil {
+		if l := t.linkTo(n.name); l != nil {
 			select {
 			case <-ctx.Done():
 			case <-l.done:
 			}
-			lost = time.Now()
-			heard = t.lastHeard(l, lost)
+			lostAt = time.Now()
+			lastReceived = t.lastReceived(l, lostAt)
 			continue
 		}
-		if !n.opens && time.Since(lost) < t.timing.grace {
-			sleep(ctx, t.timing.grace/4)
+		if !n.dials && time.Since(lostAt) < t.timing.dialGrace {
+			sleep(ctx, t.timing.dialGrace/4)
 			continue
 		}
 		err := t.connect(ctx, n.address, n.name)
 		if err == nil {
 			continue
 		}
-		level.Debug(t.Logger).Log("msg", "link not opened", "peer", n.name, "address", n.address, "err", err)
-		if time.Since(heard) >= t.timing.silence && ctx.Err() == nil {
-			t.investigate(ctx, n)
-			heard = time.Now()
+		level.Debug(t.Logger).Log("msg", "opening a link to a planned peer failed", "peer", n.name, "address", n.address, "err", err)
+		if time.Since(lastReceived) >= t.timing.linkTimeout && ctx.Err() == nil {
+			t.diagnose(ctx, n)
+			lastReceived = time.Now()
 		}
-		sleep(ctx, rand.N(t.timing.retry))
+		sleep(ctx, rand.N(t.timing.maxRetryDelay))
 	}
 }
 
-// investigate tries some members beside an unreachable peer, to tell a failed
-// node from a partition, and records the conclusion.
-func (t *Tracker) investigate(ctx context.Context, n *neighbour) {
+// diagnose probes other members of an unreachable peer's availability zone, to
+// tell a failed node from a partition, and records the result.
+func (t *Tracker) diagnose(ctx context.Context, n *neighbour) {
 	t.mu.Lock()
-	var others []*record
+	var members []*record
 	if r := t.table.records[n.name]; r != nil {
-		others = t.table.sample(r.AvailabilityZone, n.name, probes)
+		members = t.table.sample(r.AvailabilityZone, n.name, maxProbes)
 	}
 	t.mu.Unlock()
-	lost := t.probe(ctx, others)
+	lost := t.probe(ctx, members)
 	if ctx.Err() != nil {
 		return
 	}
@@ -109,17 +109,16 @@
 	if t.links[n.name] != nil {
 		return
 	}
-	t.table.conclude(time.Now(), n.name, len(t.links), len(others), lost)
-	level.Info(t.Logger).Log("msg", "peer not reachable", "peer", n.name, "address", n.address,
-		"probed", len(others), "lost", len(lost), "links", len(t.links))
-	t.metrics.unreachable.Inc(1)
-	t.spread(nil)
+	t.table.recordProbes(time.Now(), n.name, len(t.links), len(members), lost)
+	level.Info(t.Logger).Log("msg", "peer unreachable", "peer", n.name, "address", n.address,
+		"probed", len(members), "lost", len(lost), "links", len(t.links))
+	t.metrics.unreachablePeers.Inc(1)
+	t.flood(nil)
 }
 
-// probe opens a stream to each member and returns the names of those where
-// that fails.
+// probe dials each member and returns the names of the unreachable ones.
 func (t *Tracker) probe(ctx context.Context, members []*record) []string {
-	ctx, cancel := context.WithTimeout(ctx, t.timing.probing)
+	ctx, cancel := context.WithTimeout(ctx, t.timing.probeTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var lost []string
@@ -140,20 +139,20 @@
 	return lost
 }
 
-// connect opens a link. An empty name takes whoever answers.
+// connect opens a link. An empty name accepts any node at the address.
 func (t *Tracker) connect(ctx context.Context, to netip.AddrPort, name string) error {
-	opening, cancel := context.WithTimeout(ctx, t.timing.patience)
+	dialCtx, cancel := context.WithTimeout(ctx, t.timing.handshakeTimeout)
 	defer cancel()
-	conn, err := t.Open(opening, to)
+	conn, err := t.Open(dialCtx, to)
 	if err != nil {
 		return err
 	}
 	l := newLink(time.Now(), conn, true)
-	if err := t.greet(l, name); err != nil {
+	if err := t.handshake(l, name); err != nil {
 		_ = conn.Close()
 		return err
 	}
-	t.tasks.Go(func() { t.run(l) })
+	t.tasks.Go(func() { t.runLink(l) })
 	return nil
 }
 
--- a/node/tracker/record.go
+++ b/node/tracker/record.go
@@ -9,7 +9,7 @@
 	"sycamorerun"
 )
 
-// health is this node's opinion of another one.
+// health is the liveness of another node as this node sees it.
 type health uint8
 
 const (
@@ -18,34 +18,36 @@
 	failed
 )
 
-// record is an instance with what the tracker knows beside it.
+// record is an instance with the tracker's state about it.
 type record struct {
 	sycamorerun.Instance
-	// unreachable lists the availability zones that the node can't reach.
+	// unreachable lists the availability zones that the node reports as
+	// unreachable.
 	unreachable []string
 	health      health
-	// since is when the node was suspected or left, by this node's clock.
-	since time.Time
+	// inactiveSince is when the node was suspected or left, by this node's
+	// clock.
+	inactiveSince time.Time
 	// key is the hash of the name.
 	key uint64
-	// shared is set while the digest covers the record.
-	shared bool
+	// inDigest is set while the digest covers the record.
+	inDigest bool
 }
 
 func newKey(name string) uint64 { return xxhash.Sum64String(name) }
 
-// suspected is the part of the health that nodes agree on: each one counts a
-// suspect as failed by its own timer.
+// suspected reports whether the node is suspect or failed. Nodes synchronize
+// only this: each one declares a suspect failed by its own timer.
 func (r *record) suspected() bool { return r.health != alive }
 
-// live reports whether the node takes part.
+// live reports whether the node counts as a member.
 func (r *record) live() bool { return r.health != failed && r.State != sycamorerun.StateLeft }
 
-// timed reports whether the passing of time changes the record.
-func (r *record) timed() bool { return r.health != alive || r.State == sycamorerun.StateLeft }
+// expires reports whether the record changes state by the passing of time.
+func (r *record) expires() bool { return r.health != alive || r.State == sycamorerun.StateLeft }
 
-// stamp orders the records of one incarnation: a suspicion counts more than
-// the record that it is about, and less than the next sequence.
+// stamp orders the records of one incarnation: a suspicion ranks above the
+// record that it is about and below the next sequence.
 func (r *record) stamp() uint64 {
 	stamp := r.Sequence << 1
 	if r.suspected() {
@@ -54,8 +56,8 @@
 	return stamp
 }
 
-// sum is the record's share of the digest.
-func (r *record) sum() uint64 {
+// checksum returns the hash that the record adds to the digest of its bucket.
+func (r *record) checksum() uint64 {
 	var data [24]byte
 	binary.LittleEndian.PutUint64(data[0:], r.key)
 	binary.LittleEndian.PutUint64(data[8:], uint64(r.Incarnation))
--- a/node/tracker/serve.go
+++ b/node/tracker/serve.go
@@ -12,69 +12,69 @@
 	"sycamorerun/encoder"
 )
 
-// errNotRunning rejects links before Run and after its end.
-var errNotRunning = errors.New("tracker not running")
+// errNotRunning rejects links before Run starts and after it ends.
+var errNotRunning = errors.New("tracker is not running")
 
-// Serve handles a stream that a peer opened.
+// Serve handles a stream that a peer opened, until it closes.
 func (t *Tracker) Serve(ctx context.Context, from string, conn net.Conn) {
 	t.setup()
 	l := newLink(time.Now(), conn, false)
 	stop := context.AfterFunc(ctx, l.close)
 	defer stop()
-	if err := t.greet(l, from); err != nil {
+	if err := t.handshake(l, from); err != nil {
 		level.Debug(t.Logger).Log("msg", "inbound link rejected", "peer", from, "err", err)
 		_ = conn.Close()
 		return
 	}
-	t.run(l)
+	t.runLink(l)
 }
 
-// greet exchanges the first frames and adds the link. The opening end speaks
-// first.
-func (t *Tracker) greet(l *link, expected string) error {
-	_ = l.conn.SetReadDeadline(time.Now().Add(t.timing.patience))
+// handshake exchanges the first frames and registers the link. The dialing node
+// sends first.
+func (t *Tracker) handshake(l *link, expected string) error {
+	_ = l.conn.SetReadDeadline(time.Now().Add(t.timing.handshakeTimeout))
 	defer l.conn.SetReadDeadline(time.Time{})
-	if l.opened {
-		if err := l.write(t.greeting(l)); err != nil {
+	if l.outbound {
+		if err := l.write(t.handshakeFrames(l)); err != nil {
 			return err
 		}
 	}
-	frame, err := encoder.Read[Frame](l.conn, frameBytes)
+	frame, err := encoder.Read[Frame](l.conn, maxFrameBytes)
 	if err != nil {
 		return err
 	}
 	name := frame.GetFrom()
 	switch {
-	case name == "" || len(name) > nameBytes || name == t.Self.Name:
-		return errors.Errorf("greeting from %.64q", name)
+	case name == "" || len(name) > maxNameBytes || name == t.Self.Name:
+		return errors.Errorf("handshake with invalid node name %.64q", name)
 	case expected != "" && name != expected:
-		return errors.Errorf("greeting from %s, want %s", name, expected)
+		return errors.Errorf("handshake from node %s, want %s", name, expected)
 	}
-	if !l.opened {
-		if err := l.write(t.greeting(l)); err != nil {
+	if !l.outbound {
+		if err := l.write(t.handshakeFrames(l)); err != nil {
 			return err
 		}
 	}
-	if err := t.add(l, frame); err != nil {
+	if err := t.addLink(l, frame); err != nil {
 		return err
 	}
-	t.seen(name, frame)
+	t.notifyVersion(name, frame)
 	return nil
 }
 
-// seen passes on the version that a frame carries.
-func (t *Tracker) seen(peer string, frame *Frame) {
-	if beat := frame.GetHeartbeat(); beat != nil && t.VersionSeen != nil {
-		t.VersionSeen(peer, sycamorerun.Version(beat.GetVersion()))
+// notifyVersion calls VersionSeen with the version of a frame's heartbeat.
+func (t *Tracker) notifyVersion(peer string, frame *Frame) {
+	if heartbeat := frame.GetHeartbeat(); heartbeat != nil && t.VersionSeen != nil {
+		t.VersionSeen(peer, sycamorerun.Version(heartbeat.GetVersion()))
 	}
 }
 
-func (t *Tracker) greeting(l *link) []*Frame {
+func (t *Tracker) handshakeFrames(l *link) []*Frame {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l.beat = true
-	l.mark([]string{t.Self.Name})
-	frames := t.table.compose(time.Now(), l, t.version())
+	l.sendHeartbeat = true
+	l.markDirty([]string{t.Self.Name})
+	frames := t.table.buildFrames(time.Now(), l, t.version())
 	frames[0].From = t.Self.Name
 	return frames
 }
@@ -86,8 +86,8 @@
 	return uint64(t.Version())
 }
 
-// add registers a link after its first frame.
-func (t *Tracker) add(l *link, frame *Frame) error {
+// addLink applies the peer's first frame and registers the link.
+func (t *Tracker) addLink(l *link, frame *Frame) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.running {
@@ -96,42 +96,42 @@
 	name := frame.GetFrom()
 	old := t.links[name]
 	switch {
-	case old != nil && preferOld(old, l, t.Self.Name, t.timing.heartbeat):
-		return errors.Errorf("link with %s already open", name)
+	case old != nil && keepExisting(old, l, t.Self.Name, t.timing.heartbeatInterval):
+		return errors.Errorf("a link with %s is already open", name)
 	case old != nil:
 		old.close()
-	case !l.opened && len(t.links) >= linksMost:
-		return errors.Errorf("%d links open", len(t.links))
+	case !l.outbound && len(t.links) >= maxLinks:
+		return errors.Errorf("link limit reached with %d open links", len(t.links))
 	}
-	err := t.table.take(time.Now(), l, frame)
+	err := t.table.applyFrame(time.Now(), l, frame)
 	l.peer = name
 	if err != nil {
 		return err
 	}
 	t.links[name] = l
 	t.metrics.links.Update(float64(len(t.links)))
-	t.spread(l)
-	t.reached(name)
+	t.flood(l)
+	t.withdrawReports(name)
 	l.wake()
 	return nil
 }
 
-// reached takes back the claim on the availability zone of a peer, and on the
-// own one, when a link proves it wrong.
-func (t *Tracker) reached(peer string) {
+// withdrawReports withdraws this node's reports that the availability zone of a
+// connected peer, or its own zone, is unreachable.
+func (t *Tracker) withdrawReports(peer string) {
 	now := time.Now()
 	if t.table.isolated() {
-		t.table.withdraw(now, t.Self.AvailabilityZone)
+		t.table.withdrawReport(now, t.Self.AvailabilityZone)
 	}
-	if r := t.table.records[peer]; r != nil && t.table.withdraw(now, r.AvailabilityZone) {
+	if r := t.table.records[peer]; r != nil && t.table.withdrawReport(now, r.AvailabilityZone) {
 		level.Info(t.Logger).Log("msg", "availability zone reachable again", "zone", r.AvailabilityZone, "peer", peer)
 	}
-	t.spread(nil)
+	t.flood(nil)
 }
 
-// run serves a link until it breaks.
-func (t *Tracker) run(l *link) {
-	level.Debug(t.Logger).Log("msg", "link up", "peer", l.peer, "opened", l.opened)
+// runLink serves a link until it closes.
+func (t *Tracker) runLink(l *link) {
+	level.Debug(t.Logger).Log("msg", "link established", "peer", l.peer, "opened", l.outbound)
 	go t.send(l)
 	err := t.receive(l)
 	t.mu.Lock()
@@ -141,33 +141,32 @@
 	t.metrics.links.Update(float64(len(t.links)))
 	t.mu.Unlock()
 	l.close()
-	level.Debug(t.Logger).Log("msg", "link down", "peer", l.peer, "err", err)
+	level.Debug(t.Logger).Log("msg", "link closed", "peer", l.peer, "err", err)
 }
 
 func (t *Tracker) receive(l *link) error {
 	for {
-		frame, err := encoder.Read[Frame](l.conn, frameBytes)
+		frame, err := encoder.Read[Frame](l.conn, maxFrameBytes)
 		if err != nil {
 			return err
 		}
 		t.mu.Lock()
-		err = t.table.take(time.Now(), l, frame)
-		// The end that accepted the stream sends its heartbeats as answers, so
-		// that they carry the acknowledgements of TCP, which would otherwise be
-		// packets of their own.
-		l.beat = l.beat || !l.opened && frame.GetHeartbeat() != nil
-		t.spread(l)
+		err = t.table.applyFrame(time.Now(), l, frame)
+		// The accepting node sends its heartbeats as replies. They carry the
+		// TCP acknowledgements, which would otherwise be separate packets.
+		l.sendHeartbeat = l.sendHeartbeat || !l.outbound && frame.GetHeartbeat() != nil
+		t.flood(l)
 		l.wake()
 		t.mu.Unlock()
 		if err != nil {
-			t.metrics.invalid.Inc(1)
+			t.metrics.invalidFrames.Inc(1)
 			return err
 		}
-		t.seen(l.peer, frame)
+		t.notifyVersion(l.peer, frame)
 	}
 }
 
-// send writes what waits on a link. Records wait for others for a moment.
+// send writes what is pending on a link. Records wait for the batch delay.
 func (t *Tracker) send(l *link) {
 	for {
 		select {
@@ -180,7 +179,7 @@
 			select {
 			case <-l.done:
 				return
-			case <-time.After(batch):
+			case <-time.After(batchDelay):
 			}
 			frames, _ = t.collect(l, true)
 		}
@@ -195,8 +194,8 @@
 	}
 }
 
-// collect returns the frames to send now. wait says that there are only
-// records, which may wait for more.
+// collect returns the frames to send now. wait is set if only records are
+// pending, which may wait for more.
 func (t *Tracker) collect(l *link, waited bool) (frames []*Frame, wait bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -208,8 +207,8 @@
 		return nil, true
 	}
 	l.writing = true
-	if l.compare {
+	if l.sendBuckets {
 		t.metrics.exchanges.Inc(1)
 	}
-	return t.table.compose(time.Now(), l, t.version()), false
+	return t.table.buildFrames(time.Now(), l, t.version()), false
 }
--- a/node/tracker/table.go
+++ b/node/tracker/table.go
@@ -8,101 +8,102 @@
 	"sycamorerun"
 )
 
-// Periods after which records are forgotten.
+// Retention periods of records.
 const (
-	// retention is how long failed and left records are kept, so that an old
-	// record that is still on its way can't bring the node back.
+	// retention is how long failed and left records are kept, so that an
+	// outdated record that is still in flight can't bring the node back.
 	retention = 10 * time.Minute
-	// sharing is how long failed and left records take part in the digest and
-	// in exchanges. It is shorter than the retention: otherwise a peer that
-	// drops such a record a moment earlier would get it back from this node,
-	// and no node would ever forget it.
-	sharing = 9 * time.Minute
+	// digestRetention is how long failed and left records are covered by the
+	// digest and synchronized. It is shorter than retention: otherwise a peer
+	// that removes such a record slightly earlier would get it back from this
+	// node, and no node would ever remove it.
+	digestRetention = 9 * time.Minute
 )
 
-// table holds the records and makes the decisions about them. It does no
-// input or output and reads no clock.
+// table holds the membership records and implements the protocol's state
+// changes. It does no I/O and reads no clock.
 type table struct {
-	// suspicion is the time that a suspect has to refute.
-	suspicion time.Duration
-	own       own
-	records   map[string]*record
-	// timed names the records that the passing of time changes.
-	timed   map[string]*record
-	buckets [bucketCount]uint64
-	// news names the records to flood.
-	news []string
-	// claims maps the availability zones that members can't reach to those
-	// members.
-	claims map[string]map[string]struct{}
-	// down maps the availability zones that nobody reaches to the time since.
-	down map[string]time.Time
-	// list caches the live instances, but for the records in stale. It is nil
-	// when it has to be made anew.
-	list  []sycamorerun.Instance
-	stale map[string]struct{}
+	// suspicionTimeout is the time in which a suspect can refute the suspicion.
+	suspicionTimeout time.Duration
+	self             selfState
+	records          map[string]*record
+	// expiring holds the records that change state by the passing of time.
+	expiring map[string]*record
+	buckets  [bucketCount]uint64
+	// pending holds the names of the changed records that have to be flooded.
+	pending []string
+	// reports maps each availability zone that members report as unreachable to
+	// the names of those members.
+	reports map[string]map[string]struct{}
+	// downSince maps each availability zone that is down to the time since
+	// when.
+	downSince map[string]time.Time
+	// liveList caches the live instances, except for the outdated entries in
+	// staleNames. It is nil if it has to be rebuilt.
+	liveList   []sycamorerun.Instance
+	staleNames map[string]struct{}
 }
 
-func newTable(now time.Time, self sycamorerun.Instance, suspicion time.Duration) *table {
+func newTable(now time.Time, self sycamorerun.Instance, suspicionTimeout time.Duration) *table {
 	self.Sequence = max(self.Sequence, 1)
 	if self.State == "" {
 		self.State = sycamorerun.StateNone
 	}
 	self.Since = now
 	t := &table{
-		suspicion: suspicion,
-		own:       own{name: self.Name},
-		records:   map[string]*record{},
-		timed:     map[string]*record{},
-		claims:    map[string]map[string]struct{}{},
-		down:      map[string]time.Time{},
-		stale:     map[string]struct{}{},
+		suspicionTimeout: suspicionTimeout,
+		self:             selfState{name: self.Name},
+		records:          map[string]*record{},
+		expiring:         map[string]*record{},
+		reports:          map[string]map[string]struct{}{},
+		downSince:        map[string]time.Time{},
+		staleNames:       map[string]struct{}{},
 	}
 	t.replace(now, &record{Instance: self, key: newKey(self.Name)})
 	return t
 }
 
-// put replaces the record of a node and notes that it has to be flooded.
+// put replaces the record of a node and queues it for flooding.
 func (t *table) put(now time.Time, r *record) {
 	t.replace(now, r)
-	t.news = append(t.news, r.Name)
+	t.pending = append(t.pending, r.Name)
 }
 
-// replace replaces the record of a node without flooding it. Records are not
-// changed in place, so that r has to be a copy of its own.
+// replace replaces the record of a node without flooding it. Stored records are
+// immutable, so r has to be a new copy.
 func (t *table) replace(now time.Time, r *record) {
 	if old := t.records[r.Name]; old != nil {
-		t.unshare(old)
-		t.dropClaims(old)
+		t.removeFromDigest(old)
+		t.removeReports(old)
 	}
 	t.records[r.Name] = r
-	t.share(now, r)
-	t.addClaims(r)
-	t.schedule(r)
-	t.outdate(r.Name)
+	t.addToDigest(now, r)
+	t.addReports(r)
+	t.trackExpiry(r)
+	t.invalidate(r.Name)
 }
 
-func (t *table) schedule(r *record) {
-	if r.timed() && r.Name != t.own.name {
-		t.timed[r.Name] = r
+func (t *table) trackExpiry(r *record) {
+	if r.expires() && r.Name != t.self.name {
+		t.expiring[r.Name] = r
 	} else {
-		delete(t.timed, r.Name)
+		delete(t.expiring, r.Name)
 	}
 }
 
 func (t *table) remove(r *record) {
-	t.unshare(r)
-	t.dropClaims(r)
+	t.removeFromDigest(r)
+	t.removeReports(r)
 	delete(t.records, r.Name)
-	delete(t.timed, r.Name)
-	t.outdate(r.Name)
+	delete(t.expiring, r.Name)
+	t.invalidate(r.Name)
 }
 
-// merge takes a record received from a peer and reports whether it is news
-// that has to be flooded.
+// merge applies a record received from a peer and reports whether it changed
+// the table and has to be flooded.
 func (t *table) merge(now time.Time, in *record) bool {
-	if in.Name == t.own.name {
-		t.noticeOwn(in)
+	if in.Name == t.self.name {
+		t.mergeSelf(in)
 		return false
 	}
 	old := t.records[in.Name]
@@ -113,13 +114,14 @@
 	same := in.Sequence == old.Sequence && in.Incarnation == old.Incarnation
 	switch {
 	case newer && old.health == failed && in.health == suspect:
-		// The node failed here and elsewhere; its age decides.
+		// The node failed here and elsewhere; the age of the received record
+		// decides.
 	case newer:
-		// A node that counts as live here has the full time to refute,
-		// however long ago the other side of a healed partition lost it.
-		in.since = laterUnlessLeft(now, in)
+		// A node that is live here gets the full time to refute, however long
+		// ago the other side of a healed partition suspected it.
+		in.inactiveSince = suspicionStart(now, in)
 	case same && in.health == suspect && old.health == alive && old.State != sycamorerun.StateLeft:
-		in = suspected(now, old)
+		in = asSuspect(now, old)
 	default:
 		return false
 	}
@@ -127,15 +129,15 @@
 	return true
 }
 
-func laterUnlessLeft(now time.Time, in *record) time.Time {
+func suspicionStart(now time.Time, in *record) time.Time {
 	if in.health == suspect {
 		return now
 	}
-	return in.since
+	return in.inactiveSince
 }
 
 func (t *table) mergeUnknown(now time.Time, in *record) bool {
-	if in.timed() && now.Sub(in.since) >= sharing || t.forgotten(now, in.AvailabilityZone) {
+	if in.expires() && now.Sub(in.inactiveSince) >= digestRetention || t.zoneExpired(now, in.AvailabilityZone) {
 		return false
 	}
 	t.put(now, in)
@@ -143,128 +145,131 @@
 	return true
 }
 
-// suspect marks a live node and reports whether that is news.
-func (t *table) suspect(now time.Time, name string) bool {
+// markSuspect marks a live node as suspect and reports whether that changed the
+// table.
+func (t *table) markSuspect(now time.Time, name string) bool {
 	old := t.records[name]
-	if old == nil || name == t.own.name || old.health != alive || !old.live() {
+	if old == nil || name == t.self.name || old.health != alive || !old.live() {
 		return false
 	}
-	t.put(now, suspected(now, old))
+	t.put(now, asSuspect(now, old))
 	return true
 }
 
-func suspected(now time.Time, old *record) *record {
+func asSuspect(now time.Time, old *record) *record {
 	r := *old
-	r.health, r.since, r.shared = suspect, now, false
+	r.health, r.inactiveSince, r.inDigest = suspect, now, false
 	return &r
 }
 
 // tick applies the passing of time and reports whether any record changed.
 func (t *table) tick(now time.Time) bool {
-	changed := t.tickOwn(now)
-	for _, r := range t.timed {
+	changed := t.tickSelf(now)
+	for _, r := range t.expiring {
 		changed = t.expire(now, r) || changed
 	}
 	return t.tickZones(now) || changed
 }
 
-// expire moves one record on: suspect, failed, not shared, forgotten.
+// expire applies the passing of time to a record: a suspect fails, then an
+// inactive record leaves the digest and is finally removed.
 func (t *table) expire(now time.Time, r *record) (changed bool) {
-	age := now.Sub(r.since)
-	if r.health == suspect && age >= t.suspicion {
+	age := now.Sub(r.inactiveSince)
+	if r.health == suspect && age >= t.suspicionTimeout {
 		next := *r
-		next.health, next.shared = failed, false
-		// Every node has the suspicion and its own timer, so there is nothing
-		// to flood.
+		next.health, next.inDigest = failed, false
+		// Every node has received the suspicion and runs its own timer, so
+		// there is nothing to flood.
 		t.replace(now, &next)
 		r, changed = &next, true
 	}
 	switch {
 	case age >= retention:
 		t.remove(r)
-	case age >= sharing:
-		t.unshare(r)
+	case age >= digestRetention:
+		t.removeFromDigest(r)
 	}
 	return changed
 }
 
 // resume restarts the timers of suspects after this process was paused, since
-// their refutations may still wait to be read.
+// their refutations may still be unread.
 func (t *table) resume(now time.Time) {
-	for _, r := range t.timed {
+	for _, r := range t.expiring {
 		if r.health == suspect {
 			next := *r
-			next.since, next.shared = now, false
+			next.inactiveSince, next.inDigest = now, false
 			t.replace(now, &next)
 		}
 	}
 }
 
-// staleMost is the number of changes up to which the list is patched. Sorting
-// a large list anew costs many times as much as copying it.
-const staleMost = 256
+// maxStaleNames is the number of changes up to which the list is patched
+// instead of rebuilt. Sorting a large list costs many times as much as copying
+// it.
+const maxStaleNames = 256
 
-// live returns the instances that take part, sorted by name. The result is
-// shared and must not be changed.
+// live returns the live instances, sorted by name. The result is shared and
+// must not be changed.
 func (t *table) live() []sycamorerun.Instance {
 	switch {
-	case t.list == nil:
-		t.list = make([]sycamorerun.Instance, 0, len(t.records))
+	case t.liveList == nil:
+		t.liveList = make([]sycamorerun.Instance, 0, len(t.records))
 		for _, r := range t.records {
 			if t.listed(r) {
-				t.list = append(t.list, r.Instance)
+				t.liveList = append(t.liveList, r.Instance)
 			}
 		}
-		slices.SortFunc(t.list, compareNames)
-	case len(t.stale) > 0:
-		t.list = slices.Clone(t.list)
-		for name := range t.stale {
+		slices.SortFunc(t.liveList, compareNames)
+	case len(t.staleNames) > 0:
+		t.liveList = slices.Clone(t.liveList)
+		for name := range t.staleNames {
 			t.patch(name)
 		}
 	}
-	clear(t.stale)
-	return t.list
+	clear(t.staleNames)
+	return t.liveList
 }
 
-// outdate notes a change for the list.
-func (t *table) outdate(name string) {
-	if t.list == nil {
+// invalidate marks a node's entry in the cached list as outdated.
+func (t *table) invalidate(name string) {
+	if t.liveList == nil {
 		return
 	}
-	t.stale[name] = struct{}{}
-	if len(t.stale) > staleMost {
-		t.list = nil
-		clear(t.stale)
+	t.staleNames[name] = struct{}{}
+	if len(t.staleNames) > maxStaleNames {
+		t.liveList = nil
+		clear(t.staleNames)
 	}
 }
 
 func compareNames(a, b sycamorerun.Instance) int { return cmp.Compare(a.Name, b.Name) }
 
 func (t *table) listed(r *record) bool {
-	_, down := t.down[r.AvailabilityZone]
+	_, down := t.downSince[r.AvailabilityZone]
 	return r.live() && !down
 }
 
-// patch brings one node's place in the list up to date.
+// patch updates one node's entry in the cached list.
 func (t *table) patch(name string) {
 	r := t.records[name]
-	i, found := slices.BinarySearchFunc(t.list, name, func(a sycamorerun.Instance, name string) int {
+	i, found := slices.BinarySearchFunc(t.liveList, name, func(a sycamorerun.Instance, name string) int {
 		return cmp.Compare(a.Name, name)
 	})
 	switch listed := r != nil && t.listed(r); {
 	case listed && found:
-		t.list[i] = r.Instance
+		t.liveList[i] = r.Instance
 	case listed:
-		t.list = slices.Insert(t.list, i, r.Instance)
+		t.liveList = slices.Insert(t.liveList, i, r.Instance)
 	case found:
-		t.list = slices.Delete(t.list, i, i+1)
+		t.liveList = slices.Delete(t.liveList, i, i+1)
 	}
 }
 
-// suspects returns the names of the suspects in order.
+// suspects returns the names of the suspects, sorted.
 func (t *table) suspects() []string {
 	var names []string
-	for name, r := range t.timed {
+	for name, r := range t.expiring {
 		if r.health == suspect {
 			names = append(names, name)
 		}
--- a/node/tracker/table_test.go
+++ b/node/tracker/table_test.go
@@ -16,66 +16,66 @@
 
 var start = time.Unix(2_000_000, 0).UTC()
 
-// at is a point in time in seconds after start.
+// at returns the time that is the given seconds after start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// about is a record of node 1 as a peer sends it.
-func about(count int64, sequence uint64, change func(r *record)) *record {
+// peerRecord returns a record of node 1 as a peer sends it.
+func peerRecord(count int64, sequence uint64, change func(r *record)) *record {
 	self := instance(1, "a1")
 	self.Incarnation, self.Sequence, self.State = incarnation(count, 7), sequence, sycamorerun.StateReady
-	r := &record{Instance: self, key: newKey(self.Name), since: start}
+	r := &record{Instance: self, key: newKey(self.Name), inactiveSince: start}
 	if change != nil {
 		change(r)
 	}
 	return r
 }
 
-func dead(r *record) { r.health = suspect }
-func left(r *record) { r.State = sycamorerun.StateLeft }
+func setSuspect(r *record) { r.health = suspect }
+func setLeft(r *record)    { r.State = sycamorerun.StateLeft }
 
-// Guards against old, repeated and reordered records that override newer
-// ones, and against refutations that don't count.
+// Guards against old, duplicate and reordered records that override newer ones,
+// and against refutations that have no effect.
 func TestMerge(t *testing.T) {
 	type step struct {
-		at   float64
-		in   *record
-		news bool
+		at      float64
+		in      *record
+		flooded bool
 	}
 	cases := map[string]struct {
 		steps []step
-		// now is when the record is looked at.
+		// now is the time at which the record is checked.
 		now    float64
 		live   bool
 		health health
 	}{
-		"new":                       {[]step{{0, about(1, 1, nil), true}}, 0, true, alive},
-		"duplicate":                 {[]step{{0, about(1, 1, nil), true}, {1, about(1, 1, nil), false}}, 1, true, alive},
-		"reordered":                 {[]step{{0, about(1, 3, nil), true}, {1, about(1, 2, left), false}}, 1, true, alive},
-		"suspected":                 {[]step{{0, about(1, 1, nil), true}, {1, about(1, 1, dead), true}}, 3.9, true, suspect},
-		"suspected twice":           {[]step{{0, about(1, 1, nil), true}, {1, about(1, 1, dead), true}, {3, about(1, 1, dead), false}}, 4, false, failed},
-		"suspected, then repeated":  {[]step{{0, about(1, 1, nil), true}, {1, about(1, 1, dead), true}, {2, about(1, 1, nil), false}}, 2, true, suspect},
-		"refuted":                   {[]step{{0, about(1, 1, nil), true}, {1, about(1, 1, dead), true}, {2, about(1, 2, nil), true}}, 60, true, alive},
-		"refuted before suspicion":  {[]step{{0, about(1, 2, nil), true}, {1, about(1, 1, dead), false}}, 60, true, alive},
-		"old suspicion after it":    {[]step{{0, about(1, 1, nil), true}, {1, about(1, 2, nil), true}, {2, about(1, 1, dead), false}}, 60, true, alive},
-		"refuted when failed":       {[]step{{0, about(1, 1, nil), true}, {1, about(1, 1, dead), true}, {60, about(1, 2, nil), true}}, 61, true, alive},
-		"old record after failure":  {[]step{{0, about(1, 5, nil), true}, {1, about(1, 5, dead), true}, {599, about(1, 5, nil), false}}, 599, false, failed},
-		"old record after leaving":  {[]step{{0, about(1, 5, left), true}, {500, about(1, 4, nil), false}}, 500, false, alive},
-		"suspicion after leaving":   {[]step{{0, about(1, 5, left), true}, {1, about(1, 5, dead), false}}, 10, false, alive},
-		"old record after restart":  {[]step{{0, about(2, 1, nil), true}, {1, about(1, 900, nil), false}}, 1, true, alive},
-		"old leave after restart":   {[]step{{0, about(2, 1, nil), true}, {1, about(1, 900, left), false}}, 1, true, alive},
-		"restart after failure":     {[]step{{0, about(1, 9, dead), true}, {10, about(2, 1, nil), true}}, 10, true, alive},
-		"unknown, failed long ago":  {[]step{{0, about(1, 1, dead), true}, {200, about(1, 1, nil), false}}, 200, false, failed},
-		"unknown, about forgotten":  {[]step{{560, about(1, 1, dead), false}, {561, about(1, 1, nil), true}}, 561, true, alive},
-		"live here, lost elsewhere": {[]step{{0, about(1, 1, nil), true}, {300, about(1, 2, dead), true}}, 302, true, suspect},
+		"new":                       {[]step{{0, peerRecord(1, 1, nil), true}}, 0, true, alive},
+		"duplicate":                 {[]step{{0, peerRecord(1, 1, nil), true}, {1, peerRecord(1, 1, nil), false}}, 1, true, alive},
+		"reordered":                 {[]step{{0, peerRecord(1, 3, nil), true}, {1, peerRecord(1, 2, setLeft), false}}, 1, true, alive},
+		"suspected":                 {[]step{{0, peerRecord(1, 1, nil), true}, {1, peerRecord(1, 1, setSuspect), true}}, 3.9, true, suspect},
+		"suspected twice":           {[]step{{0, peerRecord(1, 1, nil), true}, {1, peerRecord(1, 1, setSuspect), true}, {3, peerRecord(1, 1, setSuspect), false}}, 4, false, failed},
+		"suspected, then repeated":  {[]step{{0, peerRecord(1, 1, nil), true}, {1, peerRecord(1, 1, setSuspect), true}, {2, peerRecord(1, 1, nil), false}}, 2, true, suspect},
+		"refuted":                   {[]step{{0, peerRecord(1, 1, nil), true}, {1, peerRecord(1, 1, setSuspect), true}, {2, peerRecord(1, 2, nil), true}}, 60, true, alive},
+		"refuted before suspicion":  {[]step{{0, peerRecord(1, 2, nil), true}, {1, peerRecord(1, 1, setSuspect), false}}, 60, true, alive},
+		"old suspicion after it":    {[]step{{0, peerRecord(1, 1, nil), true}, {1, peerRecord(1, 2, nil), true}, {2, peerRecord(1, 1, setSuspect), false}}, 60, true, alive},
+		"refuted when failed":       {[]step{{0, peerRecord(1, 1, nil), true}, {1, peerRecord(1, 1, setSuspect), true}, {60, peerRecord(1, 2, nil), true}}, 61, true, alive},
+		"old record after failure":  {[]step{{0, peerRecord(1, 5, nil), true}, {1, peerRecord(1, 5, setSuspect), true}, {599, peerRecord(1, 5, nil), false}}, 599, false, failed},
+		"old record after leaving":  {[]step{{0, peerRecord(1, 5, setLeft), true}, {500, peerRecord(1, 4, nil), false}}, 500, false, alive},
+		"suspicion after leaving":   {[]step{{0, peerRecord(1, 5, setLeft), true}, {1, peerRecord(1, 5, setSuspect), false}}, 10, false, alive},
+		"old record after restart":  {[]step{{0, peerRecord(2, 1, nil), true}, {1, peerRecord(1, 900, nil), false}}, 1, true, alive},
+		"old leave after restart":   {[]step{{0, peerRecord(2, 1, nil), true}, {1, peerRecord(1, 900, setLeft), false}}, 1, true, alive},
+		"restart after failure":     {[]step{{0, peerRecord(1, 9, setSuspect), true}, {10, peerRecord(2, 1, nil), true}}, 10, true, alive},
+		"unknown, failed long ago":  {[]step{{0, peerRecord(1, 1, setSuspect), true}, {200, peerRecord(1, 1, nil), false}}, 200, false, failed},
+		"unknown, about forgotten":  {[]step{{560, peerRecord(1, 1, setSuspect), false}, {561, peerRecord(1, 1, nil), true}}, 561, true, alive},
+		"live here, lost elsewhere": {[]step{{0, peerRecord(1, 1, nil), true}, {300, peerRecord(1, 2, setSuspect), true}}, 302, true, suspect},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			table := newTable(start, instance(0, "a1"), standard.suspicion)
+			table := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
 			for _, step := range test.steps {
 				table.tick(at(step.at))
 				in := *step.in
-				is.Equal(table.merge(at(step.at), &in), step.news)
+				is.Equal(table.merge(at(step.at), &in), step.flooded)
 			}
 			table.tick(at(test.now))
 			got := table.records["node-0001"]
@@ -86,13 +86,14 @@
 	}
 }
 
-// Guards against failed and left nodes that stay in memory or in the digest.
+// Guards against records of failed and left nodes that stay in memory or in the
+// digest.
 func TestRetention(t *testing.T) {
-	for name, change := range map[string]func(*record){"failed": dead, "left": left} {
+	for name, change := range map[string]func(*record){"failed": setSuspect, "left": setLeft} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			table, other := newTable(start, instance(0, "a1"), standard.suspicion), newTable(start, instance(0, "a1"), standard.suspicion)
-			table.merge(start, about(1, 1, change))
+			table, other := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout), newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
+			table.merge(start, peerRecord(1, 1, change))
 			table.tick(at(538))
 			is.True(table.digest() != other.digest())
 			table.tick(at(541))
@@ -100,57 +101,57 @@
 			is.Equal(len(table.records), 2)
 			table.tick(at(600))
 			is.Equal(len(table.records), 1)
-			is.Equal(len(table.timed), 0)
+			is.Equal(len(table.expiring), 0)
 		})
 	}
 }
 
-// Guards against a node that stays failed in other tables although it lives,
-// or that an earlier run's records keep out.
+// Guards against a live node that stays failed in other tables, or is
+// superseded there by records of an earlier run.
 func TestRefute(t *testing.T) {
 	own := func(count int64, boot uint32, sequence uint64, change func(*record)) *record {
-		r := about(1, sequence, change)
+		r := peerRecord(1, sequence, change)
 		r.Instance.Name, r.Incarnation = "node-0000", incarnation(count, boot)
 		return r
 	}
 	cases := map[string]struct {
 		in *record
-		// sequence and incarnation are the node's afterwards.
+		// sequence and count are those of the node's record afterwards.
 		sequence uint64
 		count    int64
 	}{
 		"own record returns":              {own(1000, 7, 1, nil), 1, 1000},
-		"suspected":                       {own(1000, 7, 1, dead), 2, 1000},
-		"suspected before a refutation":   {own(1000, 7, 0, dead), 1, 1000},
+		"suspected":                       {own(1000, 7, 1, setSuspect), 2, 1000},
+		"suspected before a refutation":   {own(1000, 7, 0, setSuspect), 1, 1000},
 		"restart in one incarnation":      {own(1000, 7, 77, nil), 78, 1000},
-		"suspected in one incarnation":    {own(1000, 7, 77, dead), 78, 1000},
+		"suspected in one incarnation":    {own(1000, 7, 77, setSuspect), 78, 1000},
 		"earlier run":                     {own(999, 9, 77, nil), 1, 1000},
-		"earlier run with a later count":  {own(1001, 9, 77, left), 2, 1002},
+		"earlier run with a later count":  {own(1001, 9, 77, setLeft), 2, 1002},
 		"earlier run with a larger boot":  {own(1000, 9, 77, nil), 2, 1001},
 		"earlier run with a smaller boot": {own(1000, 5, 77, nil), 1, 1000},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			table := newTable(start, instance(0, "a1"), standard.suspicion)
+			table := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
 			is.True(!table.merge(start, test.in))
 			table.tick(at(1))
 			got := table.records["node-0000"]
 			is.Equal(got.Sequence, test.sequence)
 			is.Equal(got.Incarnation, incarnation(test.count, 7))
 			is.Equal(got.State, sycamorerun.StateNone)
-			is.Equal(len(table.news) > 0, test.sequence > 1)
+			is.Equal(len(table.pending) > 0, test.sequence > 1)
 		})
 	}
 }
 
-// Guards against a node that resumes after a pause and declares the nodes
-// failed whose refutations it has not read yet.
+// Guards against a node that resumes after a pause and declares nodes failed
+// whose refutations it has not read yet.
 func TestResume(t *testing.T) {
 	is := is.New(t)
-	table := newTable(start, instance(0, "a1"), standard.suspicion)
-	table.merge(start, about(1, 1, nil))
-	table.suspect(at(1), "node-0001")
+	table := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
+	table.merge(start, peerRecord(1, 1, nil))
+	table.markSuspect(at(1), "node-0001")
 	table.resume(at(100))
 	table.tick(at(100))
 	is.Equal(table.suspects(), []string{"node-0001"})
@@ -158,10 +159,11 @@
 	is.Equal(len(table.live()), 1)
 }
 
-// Guards against an upstream that stays in use after its last announcement.
-func TestLapse(t *testing.T) {
+// Guards against an upstream that stays in use after its announcements have
+// stopped.
+func TestAnnouncementTimeout(t *testing.T) {
 	is := is.New(t)
-	table := newTable(start, instance(0, "a1"), standard.suspicion)
+	table := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
 	state := func(seconds float64) sycamorerun.State {
 		table.tick(at(seconds))
 		return table.records["node-0000"].State
@@ -178,78 +180,79 @@
 	is.Equal(state(60), sycamorerun.StateLeft)
 }
 
-// fill returns a table with n records in zones availability zones.
-func fill(n, zones int) *table {
-	table := newTable(start, instance(0, "a0"), standard.suspicion)
+// filledTable returns a table with n records in the given number of
+// availability zones.
+func filledTable(n, zones int) *table {
+	table := newTable(start, instance(0, "a0"), defaultTiming.suspicionTimeout)
 	for i := 1; i < n; i++ {
 		self := instance(i, fmt.Sprintf("a%d", i%zones))
 		self.Sequence, self.State, self.Service, self.Slots = 1, sycamorerun.StateReady, "quote-desk", 6
-		table.merge(start, &record{Instance: self, key: newKey(self.Name), since: start})
+		table.merge(start, &record{Instance: self, key: newKey(self.Name), inactiveSince: start})
 	}
-	table.news = nil
+	table.pending = nil
 	return table
 }
 
-// exchange passes frames between two tables until both are silent, and
-// returns the bytes.
+// exchange passes frames between two tables for ten rounds and returns the
+// bytes sent.
 func exchange(now time.Time, a, b *table) int {
-	la, lb := &link{opened: true, dirty: map[string]struct{}{}}, &link{dirty: map[string]struct{}{}}
-	la.beat = true
-	sent := 0
+	linkA, linkB := &link{outbound: true, dirty: map[string]struct{}{}}, &link{dirty: map[string]struct{}{}}
+	linkA.sendHeartbeat = true
+	sentBytes := 0
 	for range 10 {
-		for _, frame := range a.compose(now, la, 1) {
-			sent += proto.Size(frame)
-			_ = b.take(now, lb, frame)
+		for _, frame := range a.buildFrames(now, linkA, 1) {
+			sentBytes += proto.Size(frame)
+			_ = b.applyFrame(now, linkB, frame)
 		}
-		for _, frame := range b.compose(now, lb, 1) {
-			sent += proto.Size(frame)
-			_ = a.take(now, la, frame)
+		for _, frame := range b.buildFrames(now, linkB, 1) {
+			sentBytes += proto.Size(frame)
+			_ = a.applyFrame(now, linkA, frame)
 		}
 	}
-	return sent
+	return sentBytes
 }
 
-// Guards against sides of a healed partition that stay different.
+// Guards against tables that still differ after a partition has healed.
 func TestExchange(t *testing.T) {
 	cases := map[string]func(a, b *table){
 		"equal":            func(_, _ *table) {},
-		"one is empty":     func(_, b *table) { *b = *newTable(start, instance(5000, "b1"), standard.suspicion) },
-		"the other one is": func(a, _ *table) { *a = *newTable(start, instance(5000, "b1"), standard.suspicion) },
+		"one is empty":     func(_, b *table) { *b = *newTable(start, instance(5000, "b1"), defaultTiming.suspicionTimeout) },
+		"the other one is": func(a, _ *table) { *a = *newTable(start, instance(5000, "b1"), defaultTiming.suspicionTimeout) },
 		"both changed": func(a, b *table) {
 			random := rand.New(rand.NewPCG(1, 2))
 			for i := range 200 {
 				table := []*table{a, b}[i%2]
 				r := *table.records[fmt.Sprintf("node-%04d", 1+random.IntN(999))]
-				r.Sequence, r.shared = uint64(2+random.IntN(5)), false
+				r.Sequence, r.inDigest = uint64(2+random.IntN(5)), false
 				table.put(at(1), &r)
-				table.suspect(at(1), fmt.Sprintf("node-%04d", 1+random.IntN(999)))
+				table.markSuspect(at(1), fmt.Sprintf("node-%04d", 1+random.IntN(999)))
 			}
 		},
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a, b := fill(1000, 5), fill(1000, 5)
+			a, b := filledTable(1000, 5), filledTable(1000, 5)
 			change(a, b)
-			sent := exchange(at(2), a, b)
+			sentBytes := exchange(at(2), a, b)
 			is.Equal(a.digest(), b.digest())
 			is.Equal(len(a.records), len(b.records))
-			is.True(name != "equal" || sent < 100)
+			is.True(name != "equal" || sentBytes < 100)
 		})
 	}
 }
 
 // Guards against a partition in which every member of a zone is suspected and
-// has to refute, and against single failures that count as one.
-func TestConclude(t *testing.T) {
+// has to refute, and against single failures that are taken for a partition.
+func TestRecordProbes(t *testing.T) {
 	names := []string{"node-0006", "node-0011", "node-0016", "node-0021"}
 	cases := map[string]struct {
-		peer     string
-		links    int
-		probed   int
-		lost     []string
-		claims   []string
-		suspects int
+		peer        string
+		links       int
+		probed      int
+		failed      []string
+		unreachable []string
+		suspects    int
 	}{
 		"node in own zone failed":        {"node-0005", 3, 4, nil, nil, 1},
 		"rack in own zone failed":        {"node-0005", 3, 4, []string{"node-0010", "node-0015", "node-0020", "node-0025"}, nil, 5},
@@ -262,51 +265,51 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			table := fill(50, 5)
-			table.conclude(at(1), test.peer, test.links, test.probed, test.lost)
-			is.Equal(table.records["node-0000"].unreachable, test.claims)
+			table := filledTable(50, 5)
+			table.recordProbes(at(1), test.peer, test.links, test.probed, test.failed)
+			is.Equal(table.records["node-0000"].unreachable, test.unreachable)
 			is.Equal(len(table.suspects()), test.suspects)
 		})
 	}
 }
 
-// Guards against plans and lists that contain zones which nobody reaches, and
-// against zones that stay away after healing.
+// Guards against plans and lists with zones that no other zone can reach, and
+// against zones that stay excluded after the partition has healed.
 func TestZones(t *testing.T) {
 	is := is.New(t)
-	table := fill(30, 3)
-	claim := func(seconds float64, i int, sequence uint64, zones ...string) {
+	table := filledTable(30, 3)
+	report := func(seconds float64, i int, sequence uint64, zones ...string) {
 		self := instance(i, fmt.Sprintf("a%d", i%3))
 		self.Sequence = sequence
 		table.merge(at(seconds), &record{Instance: self, key: newKey(self.Name), unreachable: zones})
 		table.tick(at(seconds))
 	}
 	count := func() [2]int { return [2]int{len(table.reachable()), len(table.live())} }
-	claim(1, 1, 2, "a2") // only another zone can't reach it
+	report(1, 1, 2, "a2") // only another zone reports a2
 	is.Equal(count(), [2]int{30, 30})
-	claim(2, 3, 2, "a2") // nobody can
+	report(2, 3, 2, "a2") // all other zones report a2
 	is.Equal(count(), [2]int{20, 20})
-	claim(3, 1, 3) // the other zone can again
+	report(3, 1, 3) // the other zone withdraws its report
 	is.Equal(count(), [2]int{20, 30})
-	claim(4, 1, 4, "a2")
-	table.suspect(at(5), "node-0003") // the claiming member fails
+	report(4, 1, 4, "a2")
+	table.markSuspect(at(5), "node-0003") // the reporting member fails
 	table.tick(at(8))
 	is.Equal(count(), [2]int{29, 29})
-	table.claim(at(9), "a2")
+	table.reportUnreachable(at(9), "a2")
 	table.tick(at(9))
 	is.Equal(count(), [2]int{19, 19})
-	table.tick(at(9 + 600)) // a2 is forgotten, and so is node 3
+	table.tick(at(9 + 600)) // the records of a2 and of node 3 are removed
 	is.Equal(len(table.records), 19)
-	table.withdraw(at(610), "a2")
-	table.claim(at(611), "a0")
+	table.withdrawReport(at(610), "a2")
+	table.reportUnreachable(at(611), "a0")
 	table.tick(at(611))
 	is.Equal(count()[0], 1)
 }
 
-// Guards against records that fill the memory, can't be refuted or have no
-// place in the table.
+// Guards against records that exhaust the memory, can't be refuted or are
+// invalid.
 func TestInvalidRecords(t *testing.T) {
-	long := strings.Repeat("x", nameBytes+1)
+	long := strings.Repeat("x", maxNameBytes+1)
 	cases := map[string]func(r *Record){
 		"no name":          func(r *Record) { r.Name = "" },
 		"long name":        func(r *Record) { r.Name = long },
@@ -315,75 +318,75 @@
 		"long service":     func(r *Record) { r.Service = long },
 		"no address":       func(r *Record) { r.Address = nil },
 		"bad address":      func(r *Record) { r.Address = []byte{1} },
-		"state":            func(r *Record) { r.State = uint32(len(states)) },
+		"state":            func(r *Record) { r.State = uint32(len(wireStates)) },
 		"no incarnation":   func(r *Record) { r.Incarnation = 0 },
 		"largest count":    func(r *Record) { r.Incarnation = (1<<30 + 1) << 32 },
-		"largest sequence": func(r *Record) { r.Sequence = sequenceMost + 1 },
-		"many zones":       func(r *Record) { r.Unreachable = slices.Repeat([]string{"z"}, zonesMost+1) },
+		"largest sequence": func(r *Record) { r.Sequence = maxSequence + 1 },
+		"many zones":       func(r *Record) { r.Unreachable = slices.Repeat([]string{"z"}, maxUnreachableZones+1) },
 		"unnamed zone":     func(r *Record) { r.Unreachable = []string{""} },
-		"many slots":       func(r *Record) { r.Slots = slotsMost + 1 },
+		"many slots":       func(r *Record) { r.Slots = maxSlots + 1 },
 	}
-	_, err := decode(start, encode(start, about(1, 1, nil)))
+	_, err := decode(start, encode(start, peerRecord(1, 1, nil)))
 	is.New(t).NoErr(err)
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			message := encode(start, about(1, 1, nil))
+			message := encode(start, peerRecord(1, 1, nil))
 			change(message)
-			table := newTable(start, instance(0, "a1"), standard.suspicion)
-			is.True(table.take(start, newLink(start, nil, true), &Frame{Records: []*Record{message}}) != nil)
+			table := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
+			is.True(table.applyFrame(start, newLink(start, nil, true), &Frame{Records: []*Record{message}}) != nil)
 			is.Equal(len(table.records), 1)
 		})
 	}
 }
 
-// Guards against frames that crash the tracker or leave a wrong digest.
+// Guards against frames that crash the tracker or corrupt the digest.
 func FuzzFrame(f *testing.F) {
-	source := fill(3, 1)
-	source.suspect(start, "node-0002")
-	l := &link{dirty: map[string]struct{}{}, beat: true, compare: true, entries: []uint32{1, 300}, wants: []uint64{1}}
-	l.mark([]string{"node-0000", "node-0001", "node-0002"})
-	seed, _ := proto.Marshal(source.compose(start, l, 7)[0])
+	source := filledTable(3, 1)
+	source.markSuspect(start, "node-0002")
+	l := &link{dirty: map[string]struct{}{}, sendHeartbeat: true, sendBuckets: true, entryBuckets: []uint32{1, 300}, wants: []uint64{1}}
+	l.markDirty([]string{"node-0000", "node-0001", "node-0002"})
+	seed, _ := proto.Marshal(source.buildFrames(start, l, 7)[0])
 	f.Add(seed)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		frame := &Frame{}
 		if proto.Unmarshal(data, frame) != nil {
 			return
 		}
-		table := fill(3, 1)
-		_ = table.take(at(1), &link{peer: "x", dirty: map[string]struct{}{}}, frame)
+		table := filledTable(3, 1)
+		_ = table.applyFrame(at(1), &link{peer: "x", dirty: map[string]struct{}{}}, frame)
 		table.tick(at(2))
 		table.live()
 		var buckets [bucketCount]uint64
 		for _, r := range table.records {
-			if r.shared {
-				buckets[bucket(r.key)] += r.sum()
+			if r.inDigest {
+				buckets[bucket(r.key)] += r.checksum()
 			}
 			again, err := decode(at(2), encode(at(2), r))
 			if err != nil || again.stamp() != r.stamp() || again.Name != r.Name {
-				t.Fatalf("%v: %v becomes %v", err, r, again)
+				t.Fatalf("error %v after encoding and decoding record %v, got %v", err, r, again)
 			}
 		}
 		if buckets != table.buckets {
-			t.Fatal("digest differs from the records")
+			t.Fatal("digests of the buckets differ from the checksums of the records")
 		}
 	})
 }
 
-// Guards against a patched list that differs from one made anew.
+// Guards against a patched list that differs from a rebuilt one.
 func TestLiveIsPatched(t *testing.T) {
 	is := is.New(t)
-	table := fill(300, 3)
+	table := filledTable(300, 3)
 	random := rand.New(rand.NewPCG(3, 4))
 	for round := range 100 {
 		for range 1 + random.IntN(10) {
 			i := 1 + random.IntN(400)
-			r := &record{Instance: instance(i, fmt.Sprintf("a%d", i%3)), health: health(random.IntN(3)), since: at(float64(round))}
+			r := &record{Instance: instance(i, fmt.Sprintf("a%d", i%3)), health: health(random.IntN(3)), inactiveSince: at(float64(round))}
 			r.key = newKey(r.Name)
 			table.replace(at(float64(round)), r)
 		}
 		patched := table.live()
-		table.list = nil
+		table.liveList = nil
 		is.Equal(patched, table.live())
 	}
 }
--- a/node/tracker/timing.go
+++ b/node/tracker/timing.go
@@ -2,57 +2,61 @@
 
 import "time"
 
-// timing holds the periods of the protocol. Tests shorten them.
+// timing holds the periods and timeouts of the protocol. Tests shorten them.
 type timing struct {
-	// step is the interval of the decisions that time drives.
-	step time.Duration
-	// heartbeat is the interval of heartbeats on each link.
-	heartbeat time.Duration
-	// silence is the time after which a link without any frame is given up.
-	silence time.Duration
-	// suspicion is the time that a suspect has to refute.
-	suspicion time.Duration
-	// pause is a gap between two steps from which on this process counts as
-	// having been paused: what it didn't hear in that time says nothing about
-	// its peers.
-	pause time.Duration
-	// grace is how long the end that is not meant to open a link waits for
-	// the other one. Both ends may have different plans for a while.
-	grace time.Duration
-	// retry bounds the random pause between attempts to link with a peer. The
-	// dials themselves back off in the connector.
-	retry time.Duration
-	// patience bounds the opening of a stream and the wait for its first
-	// frame. It is shorter than the connector's dial limit, since it adds to
-	// the time in which a host that drops all packets is found.
-	patience time.Duration
-	// probing bounds the probes of further members, which follow.
-	probing time.Duration
-	// healing is the mean interval of attempts to reach lost nodes.
-	healing time.Duration
-	// discovery and discoveryMost bound the intervals between reads of the
-	// seeds by the first member of an availability zone.
-	discovery, discoveryMost time.Duration
-	// linger is how long a link that the plan doesn't want any more stays
-	// open, so that an exchange can finish.
-	linger time.Duration
+	// tickInterval is the interval of the periodic checks.
+	tickInterval time.Duration
+	// heartbeatInterval is the interval of heartbeats on each link.
+	heartbeatInterval time.Duration
+	// linkTimeout is the time without any received frame after which a link is
+	// closed.
+	linkTimeout time.Duration
+	// suspicionTimeout is the time in which a suspect can refute the suspicion.
+	suspicionTimeout time.Duration
+	// pauseThreshold is the gap between two ticks from which this process
+	// counts as paused. Missing heartbeats during a pause say nothing about the
+	// peers.
+	pauseThreshold time.Duration
+	// dialGrace is how long the accepting node waits for the other node to dial
+	// before it dials itself. The two nodes may have different plans for a
+	// while.
+	dialGrace time.Duration
+	// maxRetryDelay bounds the random delay between attempts to open a link to
+	// a peer. The dials themselves back off in the connector.
+	maxRetryDelay time.Duration
+	// handshakeTimeout bounds the opening of a stream, and then the wait for
+	// its first frame. It is shorter than the connector's dial timeout, since
+	// it adds to the time in which a host that drops all packets is detected.
+	handshakeTimeout time.Duration
+	// probeTimeout bounds the probes of further members, which follow a failed
+	// dial.
+	probeTimeout time.Duration
+	// healInterval is the mean interval of attempts to reconnect to failed
+	// nodes and unreachable zones.
+	healInterval time.Duration
+	// minDiscoveryInterval and maxDiscoveryInterval bound the intervals at
+	// which the first member of an availability zone reads the seeds.
+	minDiscoveryInterval, maxDiscoveryInterval time.Duration
+	// linkLinger is how long a link that is no longer planned stays open, so
+	// that an exchange can finish.
+	linkLinger time.Duration
 }
 
-var standard = timing{
-	step:      250 * time.Millisecond,
-	heartbeat: time.Second,
-	// Three missed heartbeats and some slack for the delivery.
-	silence:   3*time.Second + 250*time.Millisecond,
-	suspicion: 3 * time.Second,
-	pause:     2 * time.Second,
-	grace:     time.Second,
-	retry:     time.Second,
-	patience:  2 * time.Second,
-	probing:   time.Second,
-	healing:   5 * time.Second,
-	discovery: time.Second,
-	// Four reads in the first 15 s join groups that formed at the start; then
-	// each zone's first member reads the seeds every 12 s on average.
-	discoveryMost: 16 * time.Second,
-	linger:        10 * time.Second,
+var defaultTiming = timing{
+	tickInterval:      250 * time.Millisecond,
+	heartbeatInterval: time.Second,
+	// Three missed heartbeats and a margin for the delivery.
+	linkTimeout:          3*time.Second + 250*time.Millisecond,
+	suspicionTimeout:     3 * time.Second,
+	pauseThreshold:       2 * time.Second,
+	dialGrace:            time.Second,
+	maxRetryDelay:        time.Second,
+	handshakeTimeout:     2 * time.Second,
+	probeTimeout:         time.Second,
+	healInterval:         5 * time.Second,
+	minDiscoveryInterval: time.Second,
+	// Four reads in the first 15 s join groups that formed at startup. After
+	// that the first member of each zone reads the seeds every 12 s on average.
+	maxDiscoveryInterval: 16 * time.Second,
+	linkLinger:           10 * time.Second,
 }
--- a/node/tracker/tracker.go
+++ b/node/tracker/tracker.go
@@ -1,6 +1,6 @@
-// Package tracker keeps the membership: one record for each node, written by
-// that node alone, flooded over the links of the plan, and the detection of
-// nodes that fail.
+// Package tracker implements the membership protocol. Each node writes one
+// record, which is flooded over the links of the plan, and nodes detect the
+// failures of their peers.
 package tracker
 
 import (
@@ -19,32 +19,36 @@
 )
 
 const (
-	// settle is how long changes are collected before the plan is made again,
-	// at least: the collection takes settleFactor times as long as the last
-	// update did, so that a flood of changes to a large fleet takes at most a
-	// few percent of a core.
-	settle       = 50 * time.Millisecond
-	settleFactor = 30
-	// linksMost bounds the links that peers open.
-	linksMost = 256
+	// planDelay is the minimum time for which changes are collected before the
+	// plan is computed again. The time is planDelayFactor times the duration of
+	// the last update if that is longer, so that many changes in a large fleet
+	// use at most a few percent of a core.
+	planDelay       = 50 * time.Millisecond
+	planDelayFactor = 30
+	// maxLinks is the number of open links from which links opened by peers are
+	// rejected.
+	maxLinks = 256
 )
 
-// Tracker runs the membership protocol. The exported fields are set before Run
-// and before any other method is called.
+// Tracker runs the membership protocol. The exported fields have to be set
+// before Run or any other method is called.
 type Tracker struct {
-	// Self has the name, incarnation, address, availability zone and region.
+	// Self holds the name, incarnation, address, availability zone and region
+	// of this node.
 	Self sycamorerun.Instance
 	// Open opens a stream to the tracker at a peer's address.
 	Open func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
-	// Plan returns this node's links, planned over Reachable.
+	// Plan returns this node's links, planned over the result of Reachable.
 	Plan func() planner.Plan
-	// Seeds returns addresses of other nodes for the first contact.
+	// Seeds returns addresses of other nodes to contact first.
 	Seeds func(ctx context.Context) ([]netip.AddrPort, error)
-	// Version returns the configuration version in force here.
+	// Version returns the configuration version that this node's heartbeats
+	// carry.
 	Version func() sycamorerun.Version
-	// VersionSeen is told the version that a peer's heartbeat carries.
+	// VersionSeen is called with the configuration version that a peer's
+	// heartbeat carries.
 	VersionSeen func(peer string, version sycamorerun.Version)
-	// Changed is called after the set of records changed.
+	// Changed is called after the records have changed.
 	Changed func()
 	Logger  log.Logger
 	Scope   tally.Scope
@@ -52,18 +56,19 @@
 	once    sync.Once
 	timing  timing
 	metrics *metrics
-	// changes signals that Changed has to be called.
+	// changes signals that Changed has to be called and the plan followed.
 	changes chan struct{}
 	tasks   sync.WaitGroup
 
-	mu         sync.Mutex
-	running    bool
-	seed       bool
-	table      *table
-	links      map[string]*link
-	neighbours map[string]*neighbour
-	stepped    time.Time
-	beaten     time.Time
+	mu      sync.Mutex
+	running bool
+	// seed is set if this node is the first member of its availability zone.
+	seed          bool
+	table         *table
+	links         map[string]*link
+	neighbours    map[string]*neighbour
+	lastTick      time.Time
+	lastHeartbeat time.Time
 }
 
 func (t *Tracker) setup() {
@@ -78,27 +83,27 @@
 		t.metrics = newMetrics(t.Scope)
 		t.changes = make(chan struct{}, 1)
 		if t.timing == (timing{}) {
-			t.timing = standard
+			t.timing = defaultTiming
 		}
-		t.table = newTable(now, t.Self, t.timing.suspicion)
+		t.table = newTable(now, t.Self, t.timing.suspicionTimeout)
 		t.links = map[string]*link{}
 		t.neighbours = map[string]*neighbour{}
-		t.stepped, t.beaten = now, now
+		t.lastTick, t.lastHeartbeat = now, now
 	})
 }
 
-// Run keeps the links of the plan until ctx ends.
+// Run runs the protocol and maintains the planned links until ctx ends.
 func (t *Tracker) Run(ctx context.Context) error {
 	t.setup()
 	t.mu.Lock()
 	t.running = true
 	t.mu.Unlock()
-	t.changed()
+	t.signalChange()
 	t.tasks.Go(func() { t.notify(ctx) })
 	t.tasks.Go(func() { t.join(ctx) })
 	t.tasks.Go(func() { t.heal(ctx) })
 	t.tasks.Go(func() { t.discover(ctx) })
-	ticker := time.NewTicker(t.timing.step)
+	ticker := time.NewTicker(t.timing.tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -121,28 +126,28 @@
 	}
 }
 
-// Announce takes the local upstream's service, state and slots. It has to be
+// Announce sets the local upstream's service, state and slots. It has to be
 // repeated within 5 s.
 func (t *Tracker) Announce(now time.Time, service string, state sycamorerun.State, slots int) {
 	t.setup()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.announce(now, service, state, slots)
-	t.spread(nil)
+	t.flood(nil)
 }
 
-// SetDistance takes the distance of the store from this node.
+// SetDistance sets the distance of the store from this node.
 func (t *Tracker) SetDistance(now time.Time, distance int) {
 	t.setup()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.table.measure(now, distance) {
-		t.spread(nil)
+	if t.table.setDistance(now, distance) {
+		t.flood(nil)
 	}
 }
 
-// Live returns the instances that take part, sorted by name, suspects
-// included. The slice is shared and must not be changed.
+// Live returns the live instances, suspects included, sorted by name. The slice
+// is shared and must not be changed.
 func (t *Tracker) Live(time.Time) []sycamorerun.Instance {
 	t.setup()
 	t.mu.Lock()
@@ -150,8 +155,8 @@
 	return t.table.live()
 }
 
-// Reachable is Live without the availability zones that this node's zone can't
-// reach. The plan is made over it.
+// Reachable returns the live instances except those in availability zones that
+// this node's zone can't reach. The plan is computed over it.
 func (t *Tracker) Reachable(time.Time) []sycamorerun.Instance {
 	t.setup()
 	t.mu.Lock()
@@ -159,7 +164,8 @@
 	return t.table.reachable()
 }
 
-// Suspects returns the names of the nodes that have yet to refute a suspicion.
+// Suspects returns the names of the nodes that are suspected and have neither
+// refuted it nor failed yet, sorted.
 func (t *Tracker) Suspects(time.Time) []string {
 	t.setup()
 	t.mu.Lock()
@@ -167,13 +173,12 @@
 	return t.table.suspects()
 }
 
-// Leave announces that this node leaves and waits until all links have sent
-// that.
+// Leave marks this node as left and waits until all links have sent the record.
 func (t *Tracker) Leave(ctx context.Context) {
 	t.setup()
 	t.mu.Lock()
 	t.table.leave(time.Now())
-	t.spread(nil)
+	t.flood(nil)
 	t.mu.Unlock()
 	for ctx.Err() == nil && !t.flushed() {
 		sleep(ctx, 10*time.Millisecond)
@@ -191,32 +196,32 @@
 	return true
 }
 
-// spread marks the news for all links but the one that it came from, and
-// announces the change.
-func (t *Tracker) spread(from *link) {
-	news := t.table.news
-	if len(news) == 0 {
+// flood queues the changed records on all links except the one that they came
+// from, and signals the change.
+func (t *Tracker) flood(from *link) {
+	names := t.table.pending
+	if len(names) == 0 {
 		return
 	}
-	t.table.news = nil
+	t.table.pending = nil
 	for _, l := range t.links {
 		if l != from {
-			l.mark(news)
+			l.markDirty(names)
 			l.wake()
 		}
 	}
-	t.changed()
+	t.signalChange()
 }
 
-func (t *Tracker) changed() {
+func (t *Tracker) signalChange() {
 	select {
 	case t.changes <- struct{}{}:
 	default:
 	}
 }
 
-// notify calls Changed and follows the plan, once for changes that come close
-// together.
+// notify calls Changed and reconciles the links with the plan, once for changes
+// in quick succession.
 func (t *Tracker) notify(ctx context.Context) {
 	cost := time.Duration(0)
 	for {
@@ -225,7 +230,7 @@
 			return
 		case <-t.changes:
 		}
-		sleep(ctx, max(settle, settleFactor*cost))
+		sleep(ctx, max(planDelay, planDelayFactor*cost))
 		started := time.Now()
 		if t.Changed != nil {
 			t.Changed()
@@ -233,74 +238,74 @@
 		if ctx.Err() == nil {
 			t.reconcile(ctx, t.Plan())
 		}
-		cost = min(time.Since(started), settle)
+		cost = min(time.Since(started), planDelay)
 	}
 }
 
-// tick makes the decisions that time drives.
+// tick runs the periodic checks.
 func (t *Tracker) tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.stepped) >= t.timing.pause {
-		level.Warn(t.Logger).Log("msg", "process was paused", "time", now.Sub(t.stepped))
+	if now.Sub(t.lastTick) >= t.timing.pauseThreshold {
+		level.Warn(t.Logger).Log("msg", "process was paused; restarting the suspicion timers", "time", now.Sub(t.lastTick))
 		t.table.resume(now)
 		for _, l := range t.links {
-			l.heard = now
+			l.lastReceived = now
 		}
 	}
-	t.stepped = now
-	if t.table.own.overtaken != nil {
-		level.Info(t.Logger).Log("msg", "superseding a record of this node", "sequence", t.table.own.overtaken.Sequence,
-			"suspected", t.table.own.overtaken.suspected(), "address", t.table.own.overtaken.Address)
-		t.metrics.refutation.Inc(1)
+	t.lastTick = now
+	if t.table.self.conflicting != nil {
+		level.Info(t.Logger).Log("msg", "superseding a conflicting record of this node", "sequence", t.table.self.conflicting.Sequence,
+			"suspected", t.table.self.conflicting.suspected(), "address", t.table.self.conflicting.Address)
+		t.metrics.refutations.Inc(1)
 	}
 	if t.table.tick(now) {
-		t.changed()
+		t.signalChange()
 	}
-	t.spread(nil)
-	beat := now.Sub(t.beaten) >= t.timing.heartbeat-t.timing.step/2
-	if beat {
-		t.beaten = now
+	t.flood(nil)
+	sendHeartbeats := now.Sub(t.lastHeartbeat) >= t.timing.heartbeatInterval-t.timing.tickInterval/2
+	if sendHeartbeats {
+		t.lastHeartbeat = now
 		t.metrics.members.Update(float64(len(t.table.live())))
 		t.metrics.suspects.Update(float64(len(t.table.suspects())))
-		t.metrics.zones.Update(float64(len(t.table.claims)))
+		t.metrics.unreachableZones.Update(float64(len(t.table.reports)))
 	}
 	for _, l := range t.links {
-		t.tend(now, l, beat)
+		t.checkLink(now, l, sendHeartbeats)
 	}
 }
 
-// tend sends the heartbeat of a link that this end opened and closes a link
-// that is silent or not wanted.
-func (t *Tracker) tend(now time.Time, l *link, beat bool) {
-	if beat && l.opened {
-		l.beat = true
+// checkLink sends the heartbeat of an outbound link, and closes a link that
+// timed out or is no longer planned.
+func (t *Tracker) checkLink(now time.Time, l *link, sendHeartbeat bool) {
+	if sendHeartbeat && l.outbound {
+		l.sendHeartbeat = true
 		l.wake()
 	}
-	if t.neighbours[l.peer] != nil || !l.opened {
-		l.unwanted = time.Time{}
-	} else if l.unwanted.IsZero() {
-		l.unwanted = now
+	if t.neighbours[l.peer] != nil || !l.outbound {
+		l.unplannedSince = time.Time{}
+	} else if l.unplannedSince.IsZero() {
+		l.unplannedSince = now
 	}
-	if now.Sub(l.heard) >= t.timing.silence || !l.unwanted.IsZero() && now.Sub(l.unwanted) >= t.timing.linger {
+	if now.Sub(l.lastReceived) >= t.timing.linkTimeout || !l.unplannedSince.IsZero() && now.Sub(l.unplannedSince) >= t.timing.linkLinger {
 		delete(t.links, l.peer)
 		l.close()
 	}
 }
 
-func (t *Tracker) link(name string) *link {
+func (t *Tracker) linkTo(name string) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.links[name]
 }
 
-// lastHeard returns when the peer of a link was heard. Time in which this
-// process was paused doesn't count.
-func (t *Tracker) lastHeard(l *link, now time.Time) time.Time {
+// lastReceived returns when a frame was last received on a link. After a pause
+// of this process it returns now, since the pause says nothing about the peer.
+func (t *Tracker) lastReceived(l *link, now time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.stepped) >= t.timing.pause {
+	if now.Sub(t.lastTick) >= t.timing.pauseThreshold {
 		return now
 	}
-	return l.heard
+	return l.lastReceived
 }
--- a/node/tracker/tracker_test.go
+++ b/node/tracker/tracker_test.go
@@ -18,26 +18,27 @@
 	"sycamorerun/node/planner"
 )
 
-// within bounds each wait for something that other goroutines do.
-const within = 30 * time.Second
+// waitTimeout bounds each wait for a condition that other goroutines establish.
+const waitTimeout = 30 * time.Second
 
 // fabric connects the trackers of a test over pipes.
 type fabric struct {
 	t        *testing.T
 	mu       sync.Mutex
 	trackers map[netip.AddrPort]*Tracker
-	cut      func(from, to *Tracker) bool
-	// seeds returns the addresses that a node gets; nil gives the first node's.
+	blocked  func(from, to *Tracker) bool
+	// seeds returns the seed addresses of a node. If nil, the first node is the
+	// seed.
 	seeds func(self sycamorerun.Instance) []netip.AddrPort
 }
 
-// divided returns the periods n times shorter.
-func (t timing) divided(n time.Duration) timing {
+// dividedBy returns the periods divided by n.
+func (t timing) dividedBy(n time.Duration) timing {
 	return timing{
-		step: t.step / n, heartbeat: t.heartbeat / n, silence: t.silence / n, suspicion: t.suspicion / n,
-		pause: t.pause / n, grace: t.grace / n, retry: t.retry / n, patience: t.patience / n,
-		probing: t.probing / n, healing: t.healing / n, linger: t.linger / n,
-		discovery: t.discovery / n, discoveryMost: t.discoveryMost / n,
+		tickInterval: t.tickInterval / n, heartbeatInterval: t.heartbeatInterval / n, linkTimeout: t.linkTimeout / n, suspicionTimeout: t.suspicionTimeout / n,
+		pauseThreshold: t.pauseThreshold / n, dialGrace: t.dialGrace / n, maxRetryDelay: t.maxRetryDelay / n, handshakeTimeout: t.handshakeTimeout / n,
+		probeTimeout: t.probeTimeout / n, healInterval: t.healInterval / n, linkLinger: t.linkLinger / n,
+		minDiscoveryInterval: t.minDiscoveryInterval / n, maxDiscoveryInterval: t.maxDiscoveryInterval / n,
 	}
 }
 
@@ -49,7 +50,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)
 }
 
-// incarnation is the one of a run with some count and boot id.
+// incarnation returns the incarnation with the given count and boot id.
 func incarnation(count int64, boot uint32) sycamorerun.Incarnation {
 	return sycamorerun.NewIncarnation(boot).Above(sycamorerun.Incarnation(count-1) << 32)
 }
@@ -63,7 +64,7 @@
 
 // start runs a tracker and returns it with its stop function.
 func (f *fabric) start(self sycamorerun.Instance) (*Tracker, context.CancelFunc) {
-	t := &Tracker{Self: self, timing: standard.divided(3)}
+	t := &Tracker{Self: self, timing: defaultTiming.dividedBy(3)}
 	t.Plan = func() planner.Plan { return planner.New(self.Name, t.Reachable(time.Now())) }
 	t.Seeds = func(context.Context) ([]netip.AddrPort, error) {
 		f.mu.Lock()
@@ -98,7 +99,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	peer := f.trackers[to]
-	if peer == nil || f.cut != nil && f.cut(from, peer) {
+	if peer == nil || f.blocked != nil && f.blocked(from, peer) {
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
@@ -106,8 +107,8 @@
 	return pipe{near, f, from, peer}, nil
 }
 
-// pipe is one end of a stream. It drops what is written when a partition lies
-// between its ends.
+// pipe is one end of a stream. Writes are dropped while its ends are
+// partitioned.
 type pipe struct {
 	net.Conn
 	fabric   *fabric
@@ -116,7 +117,7 @@
 
 func (p pipe) Write(data []byte) (int, error) {
 	p.fabric.mu.Lock()
-	lost := p.fabric.cut != nil && p.fabric.cut(p.from, p.to)
+	lost := p.fabric.blocked != nil && p.fabric.blocked(p.from, p.to)
 	p.fabric.mu.Unlock()
 	if lost {
 		return len(data), nil
@@ -124,39 +125,39 @@
 	return p.Conn.Write(data)
 }
 
-// partition cuts the paths for which cut holds, without a sign to the ends;
-// nil heals all.
-func (f *fabric) partition(cut func(from, to *Tracker) bool) {
+// partition drops what is sent from one tracker to another if blocked is true
+// for them, without an error at either end. A nil function heals the partition.
+func (f *fabric) partition(blocked func(from, to *Tracker) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut = cut
+	f.blocked = blocked
 }
 
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(within); !condition(); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %s: %s", within, what)
+			t.Fatalf("condition not met within %s: %s", waitTimeout, what)
 		}
 	}
 }
 
 func count(t *Tracker) int { return len(t.Live(time.Now())) }
 
-// fleet starts n nodes round robin in some availability zones and waits until
-// each of them lists all.
-func (f *fabric) fleet(n int, zones ...string) (trackers []*Tracker, stops []context.CancelFunc) {
+// startFleet starts n nodes, distributed round robin over some availability
+// zones, and waits until each of them lists all.
+func (f *fabric) startFleet(n int, zones ...string) (trackers []*Tracker, stops []context.CancelFunc) {
 	f.t.Helper()
 	for i := range n {
 		tracker, stop := f.start(instance(i, zones[i%len(zones)]))
 		trackers, stops = append(trackers, tracker), append(stops, stop)
 	}
-	f.all("list all", trackers, func(t *Tracker) bool { return count(t) == n })
+	f.waitAll("each node lists all nodes", trackers, func(t *Tracker) bool { return count(t) == n })
 	return trackers, stops
 }
 
-// all waits until a condition holds for each of some trackers.
-func (f *fabric) all(what string, trackers []*Tracker, condition func(*Tracker) bool) {
+// waitAll waits until a condition holds for all given trackers.
+func (f *fabric) waitAll(what string, trackers []*Tracker, condition func(*Tracker) bool) {
 	f.t.Helper()
 	eventually(f.t, what, func() bool {
 		for _, tracker := range trackers {
@@ -168,7 +169,8 @@
 	})
 }
 
-// find returns a node's record in a tracker's list, the zero one without it.
+// find returns a node's record in a tracker's list, or the zero value if there
+// is none.
 func find(t *Tracker, name string) sycamorerun.Instance {
 	for _, member := range t.Live(time.Now()) {
 		if member.Name == name {
@@ -178,29 +180,29 @@
 	return sycamorerun.Instance{}
 }
 
-// Guards against members that a joining node or the others don't learn, and
-// against leaving nodes that stay in the list.
+// Guards against members that a joining node or the other nodes don't learn,
+// and against nodes that stay in the list after leaving.
 func TestJoinAndLeave(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFabric(t)
-	trackers, _ := f.fleet(18, "a1", "a2", "b1")
+	trackers, _ := f.startFleet(18, "a1", "a2", "b1")
 	leaver := trackers[7]
 	leaver.Announce(time.Now(), "quote-desk", sycamorerun.StateReady, 6)
-	f.all("know the announcement", trackers, func(t *Tracker) bool {
+	f.waitAll("each node has the announced state", trackers, func(t *Tracker) bool {
 		return find(t, leaver.Self.Name).State == sycamorerun.StateReady
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), within)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	leaver.Leave(ctx)
 	is.NoErr(ctx.Err())
-	f.all("know that it left", trackers, func(t *Tracker) bool {
+	f.waitAll("each node removes the left node from its list", trackers, func(t *Tracker) bool {
 		return t == leaver || find(t, leaver.Self.Name) == sycamorerun.Instance{}
 	})
 }
 
-// Guards against crashed nodes that stay in the list, and restarted ones that
-// stay out of it, also after a restart of most of the fleet.
+// Guards against crashed nodes that stay in the list, and restarted nodes that
+// are missing from it, also after a restart of most of the fleet.
 func TestCrashAndRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		zones        []string
@@ -214,20 +216,20 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFabric(t)
-			trackers, stops := f.fleet(c.nodes, c.zones...)
+			trackers, stops := f.startFleet(c.nodes, c.zones...)
 			for _, stop := range stops[c.first : c.first+c.crashed] {
 				stop()
 			}
 			if c.noticed {
 				others := slices.Delete(slices.Clone(trackers), c.first, c.first+c.crashed)
-				f.all("drop the crashed node and no other", others, func(t *Tracker) bool { return count(t) == len(others) })
+				f.waitAll("each node removes only the crashed node from its list", others, func(t *Tracker) bool { return count(t) == len(others) })
 			}
 			for i := c.first; i < c.first+c.crashed; i++ {
 				self := trackers[i].Self
 				self.Incarnation = sycamorerun.NewIncarnation(self.Incarnation.Boot() - 1)
 				trackers[i], _ = f.start(self)
 			}
-			f.all("list all new runs", trackers, func(t *Tracker) bool {
+			f.waitAll("each node lists the new runs", trackers, func(t *Tracker) bool {
 				for _, other := range trackers {
 					if find(t, other.Self.Name).Incarnation.Boot() != other.Self.Incarnation.Boot() {
 						return false
@@ -239,19 +241,19 @@
 	}
 }
 
-// Guards against nodes that start at the same time, find only a part of each
-// other and stay in two groups for good, since a node with a link contacts no
-// seeds. Here the seeds of all become known after the groups have formed.
+// Guards against nodes that start at the same time, find only some of each
+// other and stay in two groups, since a node with a link contacts no seeds.
+// Here the seeds of both groups become known only after the groups have formed.
 func TestGroupsMerge(t *testing.T) {
 	t.Parallel()
 	f := newFabric(t)
 	const nodes = 6
-	apart := true
+	separated := true
 	f.seeds = func(self sycamorerun.Instance) []netip.AddrPort {
 		group := int(self.Address.Addr().As4()[3]) % 2
 		var seeds []netip.AddrPort
 		for i := range nodes {
-			if !apart || i%2 == group {
+			if !separated || i%2 == group {
 				seeds = append(seeds, address(i))
 			}
 		}
@@ -262,24 +264,24 @@
 		tracker, _ := f.start(instance(i, []string{"a1", "b1"}[i%2]))
 		trackers = append(trackers, tracker)
 	}
-	f.all("list the own group", trackers, func(t *Tracker) bool { return count(t) == nodes/2 })
+	f.waitAll("each node lists its own group", trackers, func(t *Tracker) bool { return count(t) == nodes/2 })
 	f.mu.Lock()
-	apart = false
+	separated = false
 	f.mu.Unlock()
-	f.all("list both groups", trackers, func(t *Tracker) bool { return count(t) == nodes })
+	f.waitAll("each node lists both groups", trackers, func(t *Tracker) bool { return count(t) == nodes })
 }
 
-// Guards against a cut-off availability zone whose members are planned with,
-// or have to refute when the partition heals.
+// Guards against members of a partitioned availability zone that stay in the
+// plan, or that have to refute when the partition heals.
 func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFabric(t)
-	trackers, _ := f.fleet(18, "a1", "a2", "a3")
+	trackers, _ := f.startFleet(18, "a1", "a2", "a3")
 	f.partition(func(from, to *Tracker) bool {
 		return (from.Self.AvailabilityZone == "a3") != (to.Self.AvailabilityZone == "a3")
 	})
-	f.all("plan without the other side", trackers, func(t *Tracker) bool {
+	f.waitAll("each node plans without the other side of the partition", trackers, func(t *Tracker) bool {
 		want := 12
 		if t.Self.AvailabilityZone == "a3" {
 			want = 6
@@ -287,7 +289,7 @@
 		return len(t.Reachable(time.Now())) == want && count(t) == want
 	})
 	f.partition(nil)
-	f.all("plan with both sides again", trackers, func(t *Tracker) bool {
+	f.waitAll("each node plans with both sides again", trackers, func(t *Tracker) bool {
 		return len(t.Reachable(time.Now())) == len(trackers) && len(t.Suspects(time.Now())) == 0
 	})
 	changed := 0
@@ -296,34 +298,35 @@
 			changed++
 		}
 	}
-	// Only the nodes that link to the zones claim and withdraw.
+	// Only the nodes with links to the zones report them and withdraw the
+	// reports.
 	is.True(changed < len(trackers)/2)
 }
 
-// Guards against a node that was paused or cut off, counts as failed, and
-// stays so when it is back.
+// Guards against a node that was paused or partitioned, counts as failed, and
+// stays failed when it is reachable again.
 func TestLostNodeReturns(t *testing.T) {
 	t.Parallel()
 	f := newFabric(t)
-	trackers, _ := f.fleet(12, "a1")
+	trackers, _ := f.startFleet(12, "a1")
 	lost := trackers[5]
 	others := slices.Delete(slices.Clone(trackers), 5, 6)
 	f.partition(func(from, to *Tracker) bool { return from == lost || to == lost })
-	f.all("drop the lost node", others, func(t *Tracker) bool { return count(t) == len(others) })
-	eventually(t, "the lost node is on its own", func() bool { return len(lost.Reachable(time.Now())) == 1 })
+	f.waitAll("the other nodes remove the failed node from their lists", others, func(t *Tracker) bool { return count(t) == len(others) })
+	eventually(t, "the failed node reaches only itself", func() bool { return len(lost.Reachable(time.Now())) == 1 })
 	f.partition(nil)
-	f.all("list it again", trackers, func(t *Tracker) bool {
+	f.waitAll("each node lists the failed node again", trackers, func(t *Tracker) bool {
 		return len(t.Reachable(time.Now())) == len(trackers) && find(t, lost.Self.Name).Sequence > 1
 	})
 }
 
-// Guards against heartbeats that cost a packet of acknowledgement each: the
-// end that accepted a link sends its own only as answers, and at once.
+// Guards against heartbeats that each cause a separate TCP acknowledgement: the
+// accepting node sends its heartbeats only as immediate replies.
 func TestAcceptedLinkAnswers(t *testing.T) {
 	is := is.New(t)
 	f := newFabric(t)
 	tracker, _ := f.start(instance(0, "a1"))
-	eventually(t, "it runs", func() bool {
+	eventually(t, "the tracker runs", func() bool {
 		tracker.mu.Lock()
 		defer tracker.mu.Unlock()
 		return tracker.running
@@ -337,22 +340,22 @@
 	}
 	receive := func(within time.Duration) *Frame {
 		is.NoErr(near.SetReadDeadline(time.Now().Add(within)))
-		frame, _ := encoder.Read[Frame](near, frameBytes)
+		frame, _ := encoder.Read[Frame](near, maxFrameBytes)
 		return frame
 	}
 	peer := instance(1, "a1")
 	peer.State = sycamorerun.StateNone
 	own := encode(time.Now(), &record{Instance: peer})
 	send(&Frame{From: "node-0001", Heartbeat: &Heartbeat{}, Records: []*Record{own}})
-	is.Equal(receive(within).GetFrom(), "node-0000")
-	beat := tracker.timing.heartbeat
+	is.Equal(receive(waitTimeout).GetFrom(), "node-0000")
+	beat := tracker.timing.heartbeatInterval
 	for quiet := time.Now().Add(2 * beat); time.Now().Before(quiet); {
 		is.Equal(receive(beat).GetHeartbeat(), nil)
 	}
 	sent := time.Now()
 	send(&Frame{Heartbeat: &Heartbeat{}})
-	for receive(within).GetHeartbeat() == nil {
-		is.True(time.Since(sent) < within)
+	for receive(waitTimeout).GetHeartbeat() == nil {
+		is.True(time.Since(sent) < waitTimeout)
 	}
 	is.True(time.Since(sent) < beat/2)
 }
--- a/node/tracker/zones.go
+++ b/node/tracker/zones.go
@@ -8,148 +8,152 @@
 	"sycamorerun"
 )
 
-// When a whole availability zone can't be reached, its members are not
-// suspected one by one: they may be well and only cut off, and on healing each
-// of them would have to refute. Instead, the nodes that link to the zone claim
-// in their own records that they can't reach it. Members plan without the
-// zones that their own zone claims. A zone that all others claim is down, and
-// its members don't count as live.
-
-// probes is the number of further members that are tried when a link's peer
-// can't be reached.
-const probes = 4
-
-// probesLeast is the number of probes without which a zone is not claimed: a
-// few failed members of a small zone are suspected one by one.
-const probesLeast = 3
-
-// claim notes that this node can't reach an availability zone.
-func (t *table) claim(now time.Time, zone string) bool {
-	claims := t.records[t.own.name].unreachable
-	if slices.Contains(claims, zone) || len(claims) >= zonesMost {
+// When a whole availability zone is unreachable, its members are not suspected
+// one by one: they may be healthy behind a partition, and when it heals each of
+// them would have to refute. Instead, the nodes with links to the zone report
+// it as unreachable in their own records. A member excludes the zones that its
+// own zone reports from its plan. A zone that all other zones report is down,
+// and its members don't count as live.
+
+// maxProbes is the number of further members of a zone that are probed when a
+// peer is unreachable.
+const maxProbes = 4
+
+// minProbes is the number of probes below which a zone is not reported as
+// unreachable: a few failed members of a small zone are suspected one by one.
+const minProbes = 3
+
+// reportUnreachable adds an availability zone to the unreachable zones in this
+// node's record. It reports whether the record changed.
+func (t *table) reportUnreachable(now time.Time, zone string) bool {
+	reported := t.records[t.self.name].unreachable
+	if slices.Contains(reported, zone) || len(reported) >= maxUnreachableZones {
 		return false
 	}
-	t.update(now, func(r *record) { r.unreachable = append(slices.Clone(claims), zone) })
+	t.updateSelf(now, func(r *record) { r.unreachable = append(slices.Clone(reported), zone) })
 	return true
 }
 
-// withdraw takes a claim back.
-func (t *table) withdraw(now time.Time, zone string) bool {
-	claims := t.records[t.own.name].unreachable
-	if !slices.Contains(claims, zone) {
+// withdrawReport removes an availability zone from the unreachable zones in
+// this node's record. It reports whether the record changed.
+func (t *table) withdrawReport(now time.Time, zone string) bool {
+	reported := t.records[t.self.name].unreachable
+	if !slices.Contains(reported, zone) {
 		return false
 	}
-	t.update(now, func(r *record) {
-		r.unreachable = slices.DeleteFunc(slices.Clone(claims), func(other string) bool { return other == zone })
+	t.updateSelf(now, func(r *record) {
+		r.unreachable = slices.DeleteFunc(slices.Clone(reported), func(other string) bool { return other == zone })
 	})
 	return true
 }
 
-func (t *table) addClaims(r *record) {
+func (t *table) addReports(r *record) {
 	if !r.live() {
 		return
 	}
 	for _, zone := range r.unreachable {
-		if t.claims[zone] == nil {
-			t.claims[zone] = map[string]struct{}{}
+		if t.reports[zone] == nil {
+			t.reports[zone] = map[string]struct{}{}
 		}
-		t.claims[zone][r.Name] = struct{}{}
+		t.reports[zone][r.Name] = struct{}{}
 	}
 }
 
-func (t *table) dropClaims(r *record) {
+func (t *table) removeReports(r *record) {
 	for _, zone := range r.unreachable {
-		delete(t.claims[zone], r.Name)
-		if len(t.claims[zone]) == 0 {
-			delete(t.claims, zone)
+		delete(t.reports[zone], r.Name)
+		if len(t.reports[zone]) == 0 {
+			delete(t.reports, zone)
 		}
 	}
 }
 
-// claimedBy reports whether a member of one availability zone claims another.
-func (t *table) claimedBy(member, zone string) bool {
-	for name := range t.claims[zone] {
-		if t.records[name].AvailabilityZone == member {
+// reportedBy reports whether a member of the reporter zone reports zone as
+// unreachable.
+func (t *table) reportedBy(reporter, zone string) bool {
+	for name := range t.reports[zone] {
+		if t.records[name].AvailabilityZone == reporter {
 			return true
 		}
 	}
 	return false
 }
 
-// isolated reports whether this node claims its own availability zone, that
-// is, reaches nobody.
+// isolated reports whether this node reports its own availability zone as
+// unreachable, that is, has no connection to any node.
 func (t *table) isolated() bool {
-	self := t.records[t.own.name]
+	self := t.records[t.self.name]
 	return slices.Contains(self.unreachable, self.AvailabilityZone)
 }
 
-// reachable returns the live instances without the availability zones that
+// reachable returns the live instances except those in availability zones that
 // this node's own zone can't reach.
 func (t *table) reachable() []sycamorerun.Instance {
-	if len(t.claims) == 0 {
+	if len(t.reports) == 0 {
 		return t.live()
 	}
-	self := t.records[t.own.name]
+	self := t.records[t.self.name]
 	if t.isolated() {
 		return []sycamorerun.Instance{self.Instance}
 	}
-	cut := map[string]bool{}
-	for zone := range t.claims {
-		cut[zone] = zone != self.AvailabilityZone && t.claimedBy(self.AvailabilityZone, zone)
+	excluded := map[string]bool{}
+	for zone := range t.reports {
+		excluded[zone] = zone != self.AvailabilityZone && t.reportedBy(self.AvailabilityZone, zone)
 	}
 	var list []sycamorerun.Instance
 	for _, instance := range t.live() {
-		if !cut[instance.AvailabilityZone] {
+		if !excluded[instance.AvailabilityZone] {
 			list = append(list, instance)
 		}
 	}
 	return list
 }
 
-// tickZones finds the availability zones that are down, and forgets the
-// records of those that have been down for the retention.
+// tickZones updates the set of availability zones that are down, and removes
+// the records of zones that have been down for the retention.
 func (t *table) tickZones(now time.Time) bool {
-	if len(t.claims) == 0 && len(t.down) == 0 {
+	if len(t.reports) == 0 && len(t.downSince) == 0 {
 		return false
 	}
-	down := t.findDown()
+	down := t.downZones()
 	changed := false
-	for zone := range t.down {
+	for zone := range t.downSince {
 		if !down[zone] {
-			delete(t.down, zone)
+			delete(t.downSince, zone)
 			changed = true
 		}
 	}
 	for zone := range down {
-		if _, ok := t.down[zone]; !ok {
-			t.down[zone] = now
+		if _, ok := t.downSince[zone]; !ok {
+			t.downSince[zone] = now
 			changed = true
 		}
-		if t.forgotten(now, zone) {
-			t.forget(zone)
+		if t.zoneExpired(now, zone) {
+			t.removeZone(zone)
 		}
 	}
 	if changed {
-		t.list = nil
+		t.liveList = nil
 	}
 	return changed
 }
 
-// findDown returns the zones that every zone which this one reaches claims.
-func (t *table) findDown() map[string]bool {
-	self := t.records[t.own.name].AvailabilityZone
+// downZones returns the zones that are reported as unreachable by every zone
+// that this node's zone can reach.
+func (t *table) downZones() map[string]bool {
+	self := t.records[t.self.name].AvailabilityZone
 	voters := map[string]bool{}
 	for _, r := range t.records {
 		if r.live() && !voters[r.AvailabilityZone] {
-			voters[r.AvailabilityZone] = r.AvailabilityZone == self || !t.claimedBy(self, r.AvailabilityZone)
+			voters[r.AvailabilityZone] = r.AvailabilityZone == self || !t.reportedBy(self, r.AvailabilityZone)
 		}
 	}
 	down := map[string]bool{}
-	for zone := range t.claims {
-		if zone != self && t.claimedBy(self, zone) {
+	for zone := range t.reports {
+		if zone != self && t.reportedBy(self, zone) {
 			down[zone] = true
 			for voter, votes := range voters {
-				down[zone] = down[zone] && (!votes || voter == zone || t.claimedBy(voter, zone))
+				down[zone] = down[zone] && (!votes || voter == zone || t.reportedBy(voter, zone))
 			}
 		}
 		if !down[zone] {
@@ -159,14 +163,14 @@
 	return down
 }
 
-// forgotten reports whether the records of an availability zone have no place
-// in the table any more.
-func (t *table) forgotten(now time.Time, zone string) bool {
-	since, down := t.down[zone]
+// zoneExpired reports whether an availability zone has been down for the
+// retention, so that its records are not kept.
+func (t *table) zoneExpired(now time.Time, zone string) bool {
+	since, down := t.downSince[zone]
 	return down && now.Sub(since) >= retention
 }
 
-func (t *table) forget(zone string) {
+func (t *table) removeZone(zone string) {
 	for _, r := range t.records {
 		if r.AvailabilityZone == zone {
 			t.remove(r)
@@ -174,30 +178,31 @@
 	}
 }
 
-// conclude decides what it means that a peer and some of the members probed in
-// its availability zone can't be reached, while links to other nodes are up.
-func (t *table) conclude(now time.Time, peer string, links, probed int, lost []string) {
+// recordProbes decides whether an unreachable peer, together with the result of
+// probing its availability zone, means failed nodes or an unreachable zone.
+// links is the number of this node's open links.
+func (t *table) recordProbes(now time.Time, peer string, links, probed int, failed []string) {
 	r := t.records[peer]
 	if r == nil {
 		return
 	}
-	abroad := r.AvailabilityZone != t.records[t.own.name].AvailabilityZone
-	if probed >= probesLeast && len(lost) == probed && (abroad || links == 0) {
-		t.claim(now, r.AvailabilityZone)
+	otherZone := r.AvailabilityZone != t.records[t.self.name].AvailabilityZone
+	if probed >= minProbes && len(failed) == probed && (otherZone || links == 0) {
+		t.reportUnreachable(now, r.AvailabilityZone)
 		return
 	}
-	t.suspect(now, peer)
-	for _, name := range lost {
-		t.suspect(now, name)
+	t.markSuspect(now, peer)
+	for _, name := range failed {
+		t.markSuspect(now, name)
 	}
 }
 
-// sample returns up to n random members of an availability zone that nobody
-// suspects, without this node and one other.
-func (t *table) sample(zone, without string, n int) []*record {
+// sample returns up to n random live, unsuspected members of an availability
+// zone, without this node and the excluded one.
+func (t *table) sample(zone, exclude string, n int) []*record {
 	var list []*record
 	for _, r := range t.records {
-		if r.AvailabilityZone == zone && r.live() && r.health == alive && r.Name != without && r.Name != t.own.name {
+		if r.AvailabilityZone == zone && r.live() && r.health == alive && r.Name != exclude && r.Name != t.self.name {
 			list = append(list, r)
 		}
 	}
@@ -205,10 +210,10 @@
 	return list[:min(n, len(list))]
 }
 
-// lost returns a random failed record, nil if there is none.
-func (t *table) lost() *record {
+// randomFailed returns a random failed record, or nil if there is none.
+func (t *table) randomFailed() *record {
 	var list []*record
-	for _, r := range t.timed {
+	for _, r := range t.expiring {
 		if r.health == failed {
 			list = append(list, r)
 		}
