--- a/node/authenticator/authenticator.go
+++ b/node/authenticator/authenticator.go
@@ -1,4 +1,4 @@
-// Package authenticator tells which operator a bearer token belongs to.
+// Package authenticator maps bearer tokens to operators.
 package authenticator
 
 import (
@@ -16,7 +16,8 @@
 
 const hashPrefix = "sha256:"
 
-// Administrator is the operator name of the token in the node's settings.
+// Administrator is the operator name of the token that the node's own settings
+// configure.
 const Administrator = "administrator"
 
 // Identity is an authenticated operator.
@@ -25,24 +26,24 @@
 	Operator string
 }
 
-// credential is the hash of one operator's token.
+// credential holds the hash of one operator's token.
 type credential struct {
 	hash     [sha256.Size]byte
 	identity Identity
 }
 
-// Authenticator knows the hashes of all operators' tokens.
+// Authenticator holds the token hashes of all operators.
 type Authenticator struct {
 	administrator []credential
 	credentials   atomic.Pointer[[]credential]
 }
 
-// New returns an Authenticator that knows the administrator's hash alone.
-// An empty hash admits no administrator.
-func New(administrator string) (*Authenticator, error) {
+// New returns an Authenticator that accepts only the administrator's token. If
+// administratorHash is empty, there is no administrator.
+func New(administratorHash string) (*Authenticator, error) {
 	a := &Authenticator{}
-	if administrator != "" {
-		hash, err := ParseHash(administrator)
+	if administratorHash != "" {
+		hash, err := ParseHash(administratorHash)
 		if err != nil {
 			return nil, err
 		}
@@ -53,19 +54,19 @@
 	return a, nil
 }
 
-// ParseHash reads "sha256:" and 64 hex digits.
+// ParseHash parses a hash written as "sha256:" and 64 hex digits.
 func ParseHash(text string) ([sha256.Size]byte, error) {
 	var hash [sha256.Size]byte
 	digits, ok := strings.CutPrefix(text, hashPrefix)
 	if !ok || len(digits) != hex.EncodedLen(len(hash)) {
-		return hash, errors.Errorf("hash must be %q and %d hex digits", hashPrefix, hex.EncodedLen(len(hash)))
+		return hash, errors.Errorf("hash must be %q followed by %d hex digits", hashPrefix, hex.EncodedLen(len(hash)))
 	}
 	_, err := hex.Decode(hash[:], []byte(digits))
-	return hash, errors.Wrap(err, "hash")
+	return hash, errors.Wrap(err, "hash has invalid hex digits")
 }
 
-// Update takes the operators from the teams of items. Teams that can't be
-// read are passed over; validation has refused them before.
+// Update replaces the operators with those of the teams in items. It skips
+// teams that can't be parsed, which validation rejects beforehand.
 func (a *Authenticator) Update(items map[sycamorerun.Path]sycamorerun.Item) {
 	credentials := append([]credential{}, a.administrator...)
 	for path, item := range items {
@@ -86,8 +87,9 @@
 	a.credentials.Store(&credentials)
 }
 
-// Identify returns the operator that token belongs to. It compares with every
-// hash in constant time, so that timing tells nothing about the hashes.
+// Identify returns the operator that token belongs to. It compares the token
+// with every hash in constant time, so that the timing reveals nothing about
+// the hashes.
 func (a *Authenticator) Identify(token string) (Identity, bool) {
 	if token == "" {
 		return Identity{}, false
--- a/node/authenticator/authenticator_test.go
+++ b/node/authenticator/authenticator_test.go
@@ -18,8 +18,8 @@
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// Guards against a token that opens another team's subtree or survives its
-// removal.
+// Guards against a token that grants access to another team's subtree, or that
+// is still accepted after its removal.
 func TestIdentify(t *testing.T) {
 	team, err := json.Marshal(sycamorerun.Team{
 		Mode:      sycamorerun.ModeFlow,
@@ -54,7 +54,7 @@
 			is := is.New(t)
 			a, err := authenticator.New(hash("root"))
 			is.NoErr(err)
-			a.Update(items) // the version before
+			a.Update(items) // the previous version
 			a.Update(c.items)
 			identity, found := a.Identify(c.token)
 			is.Equal(found, c.found)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Guards against an empty setting that admits the empty token.
+// Guards against an empty administrator hash that admits the empty token.
 func TestNoAdministrator(t *testing.T) {
 	is := is.New(t)
 	a, err := authenticator.New("")
