--- a/node/announcer/announcer_test.go
+++ b/node/announcer/announcer_test.go
@@ -13,10 +13,10 @@
 
 const period = 1500 * time.Millisecond
 
-var begin = time.Unix(1_000_000, 0)
+var start = time.Unix(1_000_000, 0)
 
-// step is one event at a time in milliseconds. It is an announcement unless
-// one of the other events is named.
+// step is one event at a time in milliseconds. Without an event name it is an
+// announcement.
 type step struct {
 	at    int64
 	event string
@@ -45,7 +45,7 @@
 }
 
 // Guards against calls to an upstream that has left, crashed or was replaced,
-// and against one that stays unused although it serves.
+// and against a serving upstream that is not used.
 func TestAnnounce(t *testing.T) {
 	const draining, left = sycamorerun.StateDraining, sycamorerun.StateLeft
 	other := func(a *Announcement) { a.Service, a.Address = "t", netip.MustParseAddrPort("127.0.0.1:2") }
@@ -164,7 +164,7 @@
 			is := is.New(t)
 			a := New(func() time.Duration { return period })
 			for i, s := range steps {
-				now := begin.Add(time.Duration(s.at) * time.Millisecond)
+				now := start.Add(time.Duration(s.at) * time.Millisecond)
 				var outcome Outcome
 				switch s.event {
 				case "leave":
@@ -190,16 +190,16 @@
 	}
 }
 
-// Guards against a record of boots that grows with each restart, and one that
-// forgets the last boots.
-func TestEndedIsBounded(t *testing.T) {
+// Guards against a history that grows with each restart, or that loses the last
+// boots.
+func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	a := New(func() time.Duration { return period })
 	for boot := int64(1); boot <= 100; boot++ {
-		is.Equal(a.Announce(begin, step{id: "a", boot: boot, seq: 1}.announcement()), Accepted)
-		a.Leave(begin, fmt.Sprint(boot))
+		is.Equal(a.Announce(start, step{id: "a", boot: boot, seq: 1}.announcement()), Accepted)
+		a.Leave(start, fmt.Sprint(boot))
 	}
-	is.Equal(len(a.ended.boots), endedMost)
-	is.Equal(len(a.ended.ids), endedMost)
-	is.True(a.ended.has("a", 99))
+	is.Equal(len(a.history.boots), maxHistory)
+	is.Equal(len(a.history.departures), maxHistory)
+	is.True(a.history.hasBoot("a", 99))
 }
