--- a/node/tracker/contact.go
+++ b/node/tracker/contact.go
@@ -172,8 +172,8 @@
 // if this node is the first member of its availability zone.
 func (t *Tracker) probeReportedZones(ctx context.Context) {
 	for zone, members := range t.unconfirmedZones() {
-		failed := t.probe(ctx, members)
-		if ctx.Err() != nil || len(members) < minProbes || len(failed) < len(members) {
+		unreachable := t.probe(ctx, members)
+		if ctx.Err() != nil || len(members) < minProbes || len(unreachable) < len(members) {
 			continue
 		}
 		t.mu.Lock()
--- a/node/tracker/neighbour.go
+++ b/node/tracker/neighbour.go
@@ -100,7 +100,7 @@
 		members = t.table.sample(r.AvailabilityZone, n.name, maxProbes)
 	}
 	t.mu.Unlock()
-	lost := t.probe(ctx, members)
+	unreachable := t.probe(ctx, members)
 	if ctx.Err() != nil {
 		return
 	}
@@ -109,9 +109,9 @@
 	if t.links[n.name] != nil {
 		return
 	}
-	t.table.recordProbes(time.Now(), n.name, len(t.links), len(members), lost)
+	t.table.recordProbes(time.Now(), n.name, len(t.links), len(members), unreachable)
 	level.Info(t.Logger).Log("msg", "peer unreachable", "peer", n.name, "address", n.address,
-		"probed", len(members), "lost", len(lost), "links", len(t.links))
+		"probed", len(members), "lost", len(unreachable), "links", len(t.links))
 	t.metrics.unreachablePeers.Inc(1)
 	t.flood(nil)
 }
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithTimeout(ctx, t.timing.probeTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	var lost []string
+	var unreachable []string
 	var wait sync.WaitGroup
 	for _, r := range members {
 		wait.Go(func() {
@@ -132,11 +132,11 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			lost = append(lost, r.Name)
+			unreachable = append(unreachable, r.Name)
 		})
 	}
 	wait.Wait()
-	return lost
+	return unreachable
 }
 
 // connect opens a link. An empty name accepts any node at the address.
--- a/node/tracker/property_test.go
+++ b/node/tracker/property_test.go
@@ -101,12 +101,12 @@
 }
 
 // send puts what is pending on a link in flight.
-func (s *simulation) send(p, to *process, beat bool) {
+func (s *simulation) send(p, to *process, heartbeat bool) {
 	l, run := p.links[to.index], to.run
 	if l == nil || !to.running {
 		return
 	}
-	l.sendHeartbeat = l.sendHeartbeat || beat
+	l.sendHeartbeat = l.sendHeartbeat || heartbeat
 	for _, frame := range p.table.buildFrames(s.now, l, 0) {
 		slices.SortFunc(frame.Records, func(a, b *Record) int { return cmp.Compare(a.Name, b.Name) })
 		s.inFlight = append(s.inFlight, func() {
--- a/node/tracker/tracker_test.go
+++ b/node/tracker/tracker_test.go
@@ -117,9 +117,9 @@
 
 func (p pipe) Write(data []byte) (int, error) {
 	p.fabric.mu.Lock()
-	lost := p.fabric.blocked != nil && p.fabric.blocked(p.from, p.to)
+	dropped := p.fabric.blocked != nil && p.fabric.blocked(p.from, p.to)
 	p.fabric.mu.Unlock()
-	if lost {
+	if dropped {
 		return len(data), nil
 	}
 	return p.Conn.Write(data)
@@ -348,14 +348,14 @@
 	own := encode(time.Now(), &record{Instance: peer})
 	send(&Frame{From: "node-0001", Heartbeat: &Heartbeat{}, Records: []*Record{own}})
 	is.Equal(receive(waitTimeout).GetFrom(), "node-0000")
-	beat := tracker.timing.heartbeatInterval
-	for quiet := time.Now().Add(2 * beat); time.Now().Before(quiet); {
-		is.Equal(receive(beat).GetHeartbeat(), nil)
+	interval := tracker.timing.heartbeatInterval
+	for deadline := time.Now().Add(2 * interval); time.Now().Before(deadline); {
+		is.Equal(receive(interval).GetHeartbeat(), nil)
 	}
 	sent := time.Now()
 	send(&Frame{Heartbeat: &Heartbeat{}})
 	for receive(waitTimeout).GetHeartbeat() == nil {
 		is.True(time.Since(sent) < waitTimeout)
 	}
-	is.True(time.Since(sent) < beat/2)
+	is.True(time.Since(sent) < interval/2)
 }
--- a/node/tracker/zones.go
+++ b/node/tracker/zones.go
@@ -181,18 +181,18 @@
 // recordProbes decides whether an unreachable peer, together with the result of
 // probing its availability zone, means failed nodes or an unreachable zone.
 // links is the number of this node's open links.
-func (t *table) recordProbes(now time.Time, peer string, links, probed int, failed []string) {
+func (t *table) recordProbes(now time.Time, peer string, links, probed int, unreachable []string) {
 	r := t.records[peer]
 	if r == nil {
 		return
 	}
 	otherZone := r.AvailabilityZone != t.records[t.self.name].AvailabilityZone
-	if probed >= minProbes && len(failed) == probed && (otherZone || links == 0) {
+	if probed >= minProbes && len(unreachable) == probed && (otherZone || links == 0) {
 		t.reportUnreachable(now, r.AvailabilityZone)
 		return
 	}
 	t.markSuspect(now, peer)
-	for _, name := range failed {
+	for _, name := range unreachable {
 		t.markSuspect(now, name)
 	}
 }
