--- a/node/runner/upstream.go
+++ b/node/runner/upstream.go
@@ -70,11 +70,11 @@
 	case replaced:
 		return
 	case errors.Is(err, syscall.ECONNREFUSED):
-		u.announcer.Refused(now)
+		u.announcer.ConnectionRefused(now)
 	case errors.As(err, &failed) && failed.Reason == requester.ReasonMisdirected:
 		u.announcer.Misdirected(now, id)
 	case err == nil:
-		u.announcer.Reached()
+		u.announcer.ConnectionSucceeded()
 		return
 	default:
 		return
