--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// Heard records a peer's version, as carried by heartbeats.
-func (d *Distributor) Heard(peer string, version sycamorerun.Version) {
+// ObserveHeartbeat records a peer's version, as carried by heartbeats.
+func (d *Distributor) ObserveHeartbeat(peer string, version sycamorerun.Version) {
 	now := time.Now()
 	d.mutex.Lock()
 	d.parent.hear(now, peer)
--- a/node/distributor/distributor_test.go
+++ b/node/distributor/distributor_test.go
@@ -292,10 +292,10 @@
 		}
 		go func() { _ = d.Run(t.Context()) }()
 		synctest.Wait()
-		d.Heard("silent", 5)
-		d.Heard("stalled", 5)
+		d.ObserveHeartbeat("silent", 5)
+		d.ObserveHeartbeat("stalled", 5)
 		time.Sleep(1500 * time.Millisecond)
-		d.Heard("answering", 5)
+		d.ObserveHeartbeat("answering", 5)
 		time.Sleep(2 * time.Second)
 		if version := a.Current().Tree.Version; version != 5 {
 			t.Errorf("version %s", version)
--- a/node/distributor/fleet_test.go
+++ b/node/distributor/fleet_test.go
@@ -480,7 +480,7 @@
 			}
 			for peer := range peers(from.process.Load().Plan().Links) {
 				if to := f.members[peer]; f.reachable(from, to) {
-					to.process.Load().Heard(name, from.version())
+					to.process.Load().ObserveHeartbeat(name, from.version())
 				}
 			}
 		}
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -141,7 +141,7 @@
 		},
 		Plan:    n.fleet.plan,
 		Version: func() sycamorerun.Version { return n.distributor.Held() },
-		Seen:    func(peer string, version sycamorerun.Version) { n.distributor.Heard(peer, version) },
+		Seen:    func(peer string, version sycamorerun.Version) { n.distributor.ObserveHeartbeat(peer, version) },
 		Changed: n.membersChanged,
 		Logger:  n.logger,
 		Scope:   n.scope,
