--- a/node/distributor/bootstrap.go
+++ b/node/distributor/bootstrap.go
@@ -64,7 +64,7 @@
 			if err := d.checkStore(ctx); err != nil {
 				level.Debug(d.Logger).Log("msg", "start without the store", "err", err)
 			} else {
-				reports = append(reports, reported{version: d.Held(), final: true})
+				reports = append(reports, reported{version: d.HeldVersion(), final: true})
 			}
 		}
 		newest, final := assess(reports)
@@ -72,13 +72,13 @@
 			d.started(len(reports))
 			return nil
 		}
-		if newest.version > d.Held() && newest.peer != "" {
-			before := d.Held()
+		if newest.version > d.HeldVersion() && newest.peer != "" {
+			before := d.HeldVersion()
 			d.mutex.Lock()
 			d.wants.began(time.Now(), newest.peer)
 			d.mutex.Unlock()
 			d.pullFrom(ctx, newest.peer)
-			if d.Held() > before {
+			if d.HeldVersion() > before {
 				failures = 0
 				continue
 			}
@@ -93,7 +93,7 @@
 func (d *Distributor) started(reports int) {
 	d.ready.Store(true)
 	signal(d.wakeWatch)
-	level.Info(d.Logger).Log("msg", "newest version reached", "version", d.Held(), "reports", reports)
+	level.Info(d.Logger).Log("msg", "newest version reached", "version", d.HeldVersion(), "reports", reports)
 }
 
 // reached reports whether the node holds version and has some version in
@@ -101,7 +101,7 @@
 // it keep the one before it in force too.
 func (d *Distributor) reached(version sycamorerun.Version) bool {
 	tree, _ := d.Current()
-	return d.Held() >= version && (tree.Version > 0 || version == 0)
+	return d.HeldVersion() >= version && (tree.Version > 0 || version == 0)
 }
 
 // mayReadStore decides whether this node asks the store after it has waited
@@ -142,7 +142,7 @@
 // checkStore brings the node to the store's newest version. A node that has a
 // version from peers reads one slot only: the next one.
 func (d *Distributor) checkStore(ctx context.Context) error {
-	if held := d.Held(); held > 0 {
+	if held := d.HeldVersion(); held > 0 {
 		entry, _, err := d.readEntry(ctx, held+1)
 		if errors.Is(err, persister.ErrMissing) || err == nil && entry.Version <= held {
 			return nil
--- a/node/distributor/bootstrap_document.go
+++ b/node/distributor/bootstrap_document.go
@@ -105,18 +105,18 @@
 	for round := 0; ctx.Err() == nil; round++ {
 		reports := d.probe(ctx, documentProbe)
 		newest, _ := assess(reports)
-		if newest.version > d.Held() && newest.peer != "" {
+		if newest.version > d.HeldVersion() && newest.peer != "" {
 			d.mutex.Lock()
 			d.wants.began(time.Now(), newest.peer)
 			d.mutex.Unlock()
 			d.pullFrom(ctx, newest.peer)
 		}
 		now := time.Now()
-		if d.Held() > 0 && d.reached(newest.version) && o.enough(now, reports) {
+		if d.HeldVersion() > 0 && d.reached(newest.version) && o.enough(now, reports) {
 			d.started(len(reports))
 			return nil
 		}
-		if o.mayRead(now, reports, d.Held(), d.Plan()) {
+		if o.mayRead(now, reports, d.HeldVersion(), d.Plan()) {
 			o.begin(ctx, d)
 		}
 		limit := documentRound
--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -205,15 +205,15 @@
 			go existing.run(ctx, d)
 		}
 		existing.setDown(down[name])
-		if !ok && d.Held() > 0 {
-			existing.restart(d.Held())
+		if !ok && d.HeldVersion() > 0 {
+			existing.restart(d.HeldVersion())
 		}
 	}
 }
 
-// Held returns the newest version whose content this node has verified. It is
+// HeldVersion returns the newest version whose content this node has verified. It is
 // above the version in force while that content is refused here.
-func (d *Distributor) Held() sycamorerun.Version {
+func (d *Distributor) HeldVersion() sycamorerun.Version {
 	tree, _ := d.Current()
 	return max(tree.Version, sycamorerun.Version(d.held.Load()))
 }
@@ -242,7 +242,7 @@
 }
 
 func (d *Distributor) heard(now time.Time, peer string, version sycamorerun.Version, delay time.Duration) {
-	held := d.Held()
+	held := d.HeldVersion()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.wants.heard(now, peer, version, held, delay)
@@ -287,7 +287,7 @@
 func (d *Distributor) accept(now time.Time, entry sycamorerun.Entry, data []byte, source string) error {
 	d.accepting.Lock()
 	defer d.accepting.Unlock()
-	held := d.Held()
+	held := d.HeldVersion()
 	if entry.Version <= held {
 		return nil
 	}
@@ -342,7 +342,7 @@
 func (d *Distributor) install(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, source string) error {
 	d.accepting.Lock()
 	defer d.accepting.Unlock()
-	if tree.Version <= d.Held() {
+	if tree.Version <= d.HeldVersion() {
 		return nil
 	}
 	if d.Document != nil {
--- a/node/distributor/distributor_test.go
+++ b/node/distributor/distributor_test.go
@@ -380,14 +380,14 @@
 			for _, entry := range entries[:3] {
 				d.Learn(start, entry)
 			}
-			is.Equal(d.Held(), sycamorerun.Version(3))
+			is.Equal(d.HeldVersion(), sycamorerun.Version(3))
 			is.Equal(a.Current().Tree.Version, sycamorerun.Version(2))
 			for len(d.wakePull) > 0 {
 				<-d.wakePull
 			}
 			err := c.offer(d, store, entries)
 			is.True(errors.Is(err, c.err))
-			is.Equal(d.Held(), sycamorerun.Version(3))
+			is.Equal(d.HeldVersion(), sycamorerun.Version(3))
 			is.Equal(len(d.wakePull), 0) // nothing was passed on
 			a.Validate = nil
 			d.Learn(start, entries[3])
--- a/node/distributor/document.go
+++ b/node/distributor/document.go
@@ -121,7 +121,7 @@
 	hash := differ.Hash(tree.Items)
 	d.accepting.Lock()
 	defer d.accepting.Unlock()
-	if held := d.Held(); tree.Version <= held {
+	if held := d.HeldVersion(); tree.Version <= held {
 		if tree.Version < held {
 			d.count("distributor_stale_documents", 1)
 		}
--- a/node/distributor/link.go
+++ b/node/distributor/link.go
@@ -84,7 +84,7 @@
 		}
 		failures++
 		level.Debug(d.Logger).Log("msg", "link failed; reconnecting", "peer", l.peer, "err", err)
-		l.restart(d.Held())
+		l.restart(d.HeldVersion())
 		if !sleep(ctx, backoff(failures, linkRetryLeast, linkRetryMost, d.Random())) {
 			return
 		}
--- a/node/distributor/pull.go
+++ b/node/distributor/pull.go
@@ -48,7 +48,7 @@
 	if d.Mode == Poll {
 		return "", idle
 	}
-	held, known := d.Held(), peers(d.Plan().Links)
+	held, known := d.HeldVersion(), peers(d.Plan().Links)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	peer, wait := d.wants.next(now, held, func(name string) bool { return known[name] })
@@ -61,12 +61,12 @@
 // pullFrom asks peer for the versions after the held one and records how that
 // went.
 func (d *Distributor) pullFrom(ctx context.Context, peer string) {
-	before := d.Held()
+	before := d.HeldVersion()
 	reply, err := d.request(ctx, peer, before, false, pullTimeout)
 	if err == nil {
 		err = d.absorb(time.Now(), peer, reply)
 	}
-	held := d.Held()
+	held := d.HeldVersion()
 	version := sycamorerun.Version(reply.GetVersion())
 	retry := time.Duration(reply.GetRetryMs()) * time.Millisecond
 	if err == nil && version > held && held == before && retry == 0 {
--- a/node/distributor/serve.go
+++ b/node/distributor/serve.go
@@ -90,7 +90,7 @@
 // the ordinary delay when its content is damaged.
 func (d *Distributor) pushed(now time.Time, from string, message *Push) error {
 	version := sycamorerun.Version(message.GetVersion())
-	if version <= d.Held() {
+	if version <= d.HeldVersion() {
 		d.count("distributor_duplicate_pushes", 1)
 		d.heard(now, from, version, d.pullDelay())
 		return nil
@@ -103,7 +103,7 @@
 		err = d.accept(now, entry, message.GetEntry().GetData(), from)
 	}
 	switch {
-	case errors.Is(err, errGap) && entry.Basis() < d.Held():
+	case errors.Is(err, errGap) && entry.Basis() < d.HeldVersion():
 		// Another watcher's entry that is based on this node's version may be
 		// on its way, and costs less than a snapshot.
 		d.heard(now, from, version, d.pullDelay())
@@ -140,7 +140,7 @@
 
 // reply chooses between entries and a snapshot by size.
 func (d *Distributor) reply(after sycamorerun.Version, probe bool) (reply *Reply, large bool) {
-	held := d.Held()
+	held := d.HeldVersion()
 	reply = &Reply{Version: uint64(held), Ready: d.Ready(), Watching: d.watching(time.Now())}
 	if probe || after >= held {
 		return reply, false
--- a/node/distributor/survey.go
+++ b/node/distributor/survey.go
@@ -72,7 +72,7 @@
 	if len(names) == 0 {
 		return Convergence{}, errors.New("the plan names no regions to survey")
 	}
-	target := d.Held()
+	target := d.HeldVersion()
 	result := Convergence{Target: target, Counts: map[sycamorerun.Version]int{}}
 	own := slices.Index(names, d.Self)
 	if own >= 0 {
--- a/node/distributor/watch.go
+++ b/node/distributor/watch.go
@@ -157,7 +157,7 @@
 		switch {
 		case object.Deleted:
 		case keysOnly:
-			newest = max(newest, slotVersion(object.Key, d.Held()))
+			newest = max(newest, slotVersion(object.Key, d.HeldVersion()))
 		default:
 			if err := d.takeObject(time.Now(), object); err != nil {
 				level.Warn(d.Logger).Log("msg", "log object not applied", "key", object.Key, "err", err)
@@ -165,10 +165,10 @@
 			}
 		}
 	}
-	if newest > d.Held() {
+	if newest > d.HeldVersion() {
 		_ = sleep(ctx, d.StandbyDelay())
 	}
-	return after, newest <= d.Held()
+	return after, newest <= d.HeldVersion()
 }
 
 // slotVersion returns the version that a write to a slot means for a node that
@@ -192,7 +192,7 @@
 // A standby reads the slot of its version alone, which is enough unless the
 // history of a watch no longer reaches back to it.
 func (d *Distributor) begin(ctx context.Context, keysOnly bool) (after persister.Revision, synced bool, err error) {
-	if held := d.Held(); keysOnly && held > 0 {
+	if held := d.HeldVersion(); keysOnly && held > 0 {
 		after, wrapped, err := d.anchor(ctx, held)
 		if err != nil || !wrapped {
 			return after, false, err
@@ -222,7 +222,7 @@
 func (d *Distributor) sync(ctx context.Context) (persister.Revision, error) {
 	for range maxSyncs {
 		var after persister.Revision
-		held, wrapped := d.Held(), true
+		held, wrapped := d.HeldVersion(), true
 		if held > 0 {
 			var err error
 			if after, wrapped, err = d.anchor(ctx, held); err != nil {
@@ -284,7 +284,7 @@
 	if errors.Is(err, persister.ErrMissing) {
 		return false, nil
 	}
-	if err != nil || tree.Version <= d.Held() {
+	if err != nil || tree.Version <= d.HeldVersion() {
 		return false, err
 	}
 	return true, d.install(time.Now(), tree, hash, "")
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -140,7 +140,7 @@
 			return n.connector.Open(ctx, to, kindTracker)
 		},
 		Plan:    n.fleet.plan,
-		Version: func() sycamorerun.Version { return n.distributor.Held() },
+		Version: func() sycamorerun.Version { return n.distributor.HeldVersion() },
 		Seen:    func(peer string, version sycamorerun.Version) { n.distributor.ObserveHeartbeat(peer, version) },
 		Changed: n.membersChanged,
 		Logger:  n.logger,
