--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -221,8 +221,8 @@
 // Ready reports whether Bootstrap has found the newest version.
 func (d *Distributor) Ready() bool { return d.ready.Load() }
 
-// Learn takes an entry that this node committed to the store.
-func (d *Distributor) Learn(now time.Time, entry sycamorerun.Entry) {
+// ApplyCommitted takes an entry that this node committed to the store.
+func (d *Distributor) ApplyCommitted(now time.Time, entry sycamorerun.Entry) {
 	data, err := persister.EncodeEntry(entry)
 	if err == nil {
 		err = d.accept(now, entry, data, "")
--- a/node/distributor/distributor_test.go
+++ b/node/distributor/distributor_test.go
@@ -217,7 +217,7 @@
 	store := newStore()
 	d, _ := solo()
 	for range 200 {
-		d.Learn(start, store.next())
+		d.ApplyCommitted(start, store.next())
 	}
 	reply, _ := d.reply(199, false)
 	is.Equal(len(reply.GetEntries()), 1)
@@ -242,7 +242,7 @@
 		store := newStore()
 		d, _ := solo()
 		for range 200 {
-			d.Learn(start, store.next())
+			d.ApplyCommitted(start, store.next())
 		}
 		busy, served := 0, 0
 		var streams []net.Conn
@@ -279,7 +279,7 @@
 		source, _ := solo()
 		d, a := solo()
 		for range 5 {
-			source.Learn(start, store.next())
+			source.ApplyCommitted(start, store.next())
 		}
 		d.Open = func(_ context.Context, peer, _ string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -343,7 +343,7 @@
 	}
 	versions := []sycamorerun.Version{}
 	for range 12 {
-		d.Learn(start, store.next())
+		d.ApplyCommitted(start, store.next())
 		versions = append(versions, a.Current().Tree.Version)
 	}
 	is.Equal(versions, []sycamorerun.Version{1, 2, 2, 2, 2, 2, 2, 2, 2, 10, 11, 12})
@@ -378,7 +378,7 @@
 			}
 			entries := []sycamorerun.Entry{store.next(), store.next(), store.next(), store.next(), store.next()}
 			for _, entry := range entries[:3] {
-				d.Learn(start, entry)
+				d.ApplyCommitted(start, entry)
 			}
 			is.Equal(d.HeldVersion(), sycamorerun.Version(3))
 			is.Equal(a.Current().Tree.Version, sycamorerun.Version(2))
@@ -390,7 +390,7 @@
 			is.Equal(d.HeldVersion(), sycamorerun.Version(3))
 			is.Equal(len(d.wakePull), 0) // nothing was passed on
 			a.Validate = nil
-			d.Learn(start, entries[3])
+			d.ApplyCommitted(start, entries[3])
 			is.Equal(a.Current().Hash, store.hashes[4])
 		})
 	}
