--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -53,8 +53,8 @@
 	Store        persister.Store
 	// Document is the operators' document; nil selects the log in Store.
 	Document *Document
-	// Measure publishes the distance of the store.
-	Measure func(now time.Time, distance int)
+	// PublishDistance publishes the distance of the store.
+	PublishDistance func(now time.Time, distance int)
 	// Current returns the tree in force and its hash.
 	Current func() (sycamorerun.Tree, sycamorerun.Hash)
 	// Apply and Install put a version in force or return why they did not.
@@ -110,7 +110,7 @@
 	return &Distributor{
 		Mode:         Tree,
 		StandbyDelay: func() time.Duration { return DefaultStandbyDelay },
-		Measure:      func(time.Time, int) {},
+		PublishDistance:      func(time.Time, int) {},
 		Random:       rand.Float64,
 		Peers:        func() []string { return nil },
 		Logger:       log.NewNopLogger(),
--- a/node/distributor/document_test.go
+++ b/node/distributor/document_test.go
@@ -156,7 +156,7 @@
 						return sycamorerun.Tree{Version: found.version}, after + 1, ok, found.err
 					},
 				}
-				d.Measure = func(_ time.Time, measured int) { distance = measured }
+				d.PublishDistance = func(_ time.Time, measured int) { distance = measured }
 				d.Plan = func() planner.Plan { return planner.Plan{Watch: planner.Primary} }
 				go func() { _ = d.Run(t.Context()) }()
 				go func() { _ = d.Bootstrap(t.Context()) }()
--- a/node/distributor/fleet_test.go
+++ b/node/distributor/fleet_test.go
@@ -356,7 +356,7 @@
 		}
 		if f.document != nil {
 			d.Document = f.document(m, delay)
-			d.Measure = func(_ time.Time, distance int) { go f.measured(m, distance) }
+			d.PublishDistance = func(_ time.Time, distance int) { go f.measured(m, distance) }
 		}
 		random := uint64(i + 1)
 		d.Self, d.Mode = name, f.mode
--- a/node/distributor/reach.go
+++ b/node/distributor/reach.go
@@ -127,7 +127,7 @@
 func (d *Distributor) publish(now time.Time) {
 	if distance := d.reach.distance(); distance != d.reach.published {
 		d.reach.published = distance
-		d.Measure(now, distance)
+		d.PublishDistance(now, distance)
 	}
 }
 
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -163,7 +163,7 @@
 	d.StandbyDelay = func() time.Duration { return n.inForce.Load().StandbyDelay }
 	d.Store = n.store
 	d.Document = n.document
-	d.Measure = n.tracker.Measure
+	d.PublishDistance = n.tracker.Measure
 	d.Current = n.current
 	d.Apply, d.Install = n.apply, n.applier.Install
 	d.Plan = n.fleet.plan
