--- a/node/distributor/backoff.go
+++ b/node/distributor/backoff.go
@@ -4,13 +4,13 @@
 
 // backoff returns a full-jitter delay: uniform between zero and a limit that
 // doubles with each failure. Random is uniform in [0, 1).
-func backoff(failures int, least, most time.Duration, random float64) time.Duration {
-	limit := least
+func backoff(failures int, minDelay, maxDelay time.Duration, random float64) time.Duration {
+	limit := minDelay
 	for range min(failures-1, 30) {
-		if limit >= most {
+		if limit >= maxDelay {
 			break
 		}
 		limit *= 2
 	}
-	return time.Duration(random * float64(min(limit, most)))
+	return time.Duration(random * float64(min(limit, maxDelay)))
 }
--- a/node/distributor/bench_test.go
+++ b/node/distributor/bench_test.go
@@ -16,7 +16,7 @@
 )
 
 // large returns a tree of the two-year size: 430 services and 900 routes.
-func large() map[sycamorerun.Path]sycamorerun.Item {
+func largeTree() map[sycamorerun.Path]sycamorerun.Item {
 	items := map[sycamorerun.Path]sycamorerun.Item{}
 	put := func(i int, kind, name string, value any) {
 		item, err := json.Marshal(value)
@@ -72,8 +72,8 @@
 }
 
 func benchmarkChange(b *testing.B, validate func(map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault) {
-	items := large()
-	d, a := solo()
+	items := largeTree()
+	d, a := newIsolatedNode()
 	a.Validate = validate
 	if err := a.Install(start, sycamorerun.Tree{Version: 1, Items: items}, differ.Hash(items)); err != nil {
 		b.Fatal(err)
@@ -84,34 +84,34 @@
 		b.StopTimer()
 		entry := change(a.Current().Tree, i)
 		data, _ := persister.EncodeEntry(entry)
-		received := frame(push(entry.Version, data))
+		received := encodeFrame(newPush(entry.Version, data))
 		size, stored = len(received), len(data)
 		b.StartTimer()
 		message, err := readMessage(bytes.NewReader(received))
 		if err == nil {
-			err = d.pushed(start, "parent", message.GetPush())
+			err = d.handlePush(start, "parent", message.GetPush())
 		}
 		if err != nil {
 			b.Fatal(err)
 		}
-		_ = frame(push(entry.Version, data))
+		_ = encodeFrame(newPush(entry.Version, data))
 	}
 	b.ReportMetric(float64(size), "bytes/push")
 	b.ReportMetric(float64(stored), "bytes/entry")
-	b.ReportMetric(float64(len(frame(have(1<<20, false)))), "bytes/have")
+	b.ReportMetric(float64(len(encodeFrame(newHave(1<<20, false)))), "bytes/have")
 }
 
 // BenchmarkFrame is the processor time to encode one push.
 func BenchmarkFrame(b *testing.B) {
-	data, _ := persister.EncodeEntry(change(sycamorerun.Tree{Version: 1, Items: large()}, 1))
+	data, _ := persister.EncodeEntry(change(sycamorerun.Tree{Version: 1, Items: largeTree()}, 1))
 	for b.Loop() {
-		_ = frame(push(1, data))
+		_ = encodeFrame(newPush(1, data))
 	}
 }
 
 // BenchmarkSnapshot is the processor time to pack a snapshot and its size.
 func BenchmarkSnapshot(b *testing.B) {
-	tree := sycamorerun.Tree{Version: 1, Items: large()}
+	tree := sycamorerun.Tree{Version: 1, Items: largeTree()}
 	size, plain := 0, 0
 	for path, item := range tree.Items {
 		plain += len(path) + len(item)
@@ -126,7 +126,7 @@
 
 // BenchmarkHeldTree is the memory that a tree and its table keep.
 func BenchmarkHeldTree(b *testing.B) {
-	data, _ := persister.EncodeSnapshot(sycamorerun.Tree{Version: 1, Items: large()}, differ.Hash(large()))
+	data, _ := persister.EncodeSnapshot(sycamorerun.Tree{Version: 1, Items: largeTree()}, differ.Hash(largeTree()))
 	heap := func() float64 {
 		var stats runtime.MemStats
 		runtime.GC()
--- a/node/distributor/bootstrap.go
+++ b/node/distributor/bootstrap.go
@@ -18,36 +18,36 @@
 	probeTimeout = time.Second
 	// bootstrapRetryLeast and bootstrapRetryMost bound the delay between two
 	// rounds.
-	bootstrapRetryLeast = 100 * time.Millisecond
-	bootstrapRetryMost  = 2 * time.Second
+	minBootstrapRetry = 100 * time.Millisecond
+	maxBootstrapRetry = 2 * time.Second
 	// storePatience is how long a node that reaches only peers that are
 	// starting too leaves the store to the region's watchers. When a whole
 	// fleet restarts, the store would otherwise get three reads from each node.
-	storePatience = 5 * time.Second
+	storeReadDelay = 5 * time.Second
 	// solitude is how long a node without any known peer waits for the first
 	// one before it reads the store, for the same reason.
-	solitude = time.Second
+	peerDiscoveryDelay = time.Second
 )
 
 // reported is the answer of one source about its newest version.
-type reported struct {
+type versionReport struct {
 	peer    string
 	version sycamorerun.Version
 	// final is set for the store and for peers that are ready. A peer that is
 	// starting itself may still lack versions.
-	final bool
+	authoritative bool
 }
 
 // assess returns the newest version reported, the peer that has it, empty for
 // the store, and whether any report is final. A peer is preferred.
-func assess(reports []reported) (newest reported, final bool) {
+func newestReport(reports []versionReport) (newest versionReport, authoritative bool) {
 	for _, report := range reports {
-		final = final || report.final
+		authoritative = authoritative || report.authoritative
 		if report.version > newest.version || report.version == newest.version && newest.peer == "" {
 			newest = report
 		}
 	}
-	return newest, final
+	return newest, authoritative
 }
 
 // Bootstrap returns once the node has the newest version that the reachable
@@ -59,23 +59,23 @@
 	started := time.Now()
 	jitter := 1 + d.Random()
 	for failures := 1; ; failures++ {
-		reports := d.probe(ctx, probeTimeout)
+		reports := d.probePeers(ctx, probeTimeout)
 		if d.mayReadStore(reports, time.Duration(float64(time.Since(started))/jitter)) {
-			if err := d.checkStore(ctx); err != nil {
+			if err := d.catchUpFromStore(ctx); err != nil {
 				level.Debug(d.Logger).Log("msg", "start without the store", "err", err)
 			} else {
-				reports = append(reports, reported{version: d.HeldVersion(), final: true})
+				reports = append(reports, versionReport{version: d.HeldVersion(), authoritative: true})
 			}
 		}
-		newest, final := assess(reports)
-		if final && d.reached(newest.version) {
-			d.started(len(reports))
+		newest, authoritative := newestReport(reports)
+		if authoritative && d.hasReached(newest.version) {
+			d.markReady(len(reports))
 			return nil
 		}
 		if newest.version > d.HeldVersion() && newest.peer != "" {
 			before := d.HeldVersion()
 			d.mutex.Lock()
-			d.wants.began(time.Now(), newest.peer)
+			d.pulls.startPull(time.Now(), newest.peer)
 			d.mutex.Unlock()
 			d.pullFrom(ctx, newest.peer)
 			if d.HeldVersion() > before {
@@ -83,14 +83,14 @@
 				continue
 			}
 		}
-		if !sleep(ctx, backoff(failures, bootstrapRetryLeast, bootstrapRetryMost, d.Random())) {
+		if !sleep(ctx, backoff(failures, minBootstrapRetry, maxBootstrapRetry, d.Random())) {
 			return ctx.Err()
 		}
 	}
 }
 
 // started makes the node ready.
-func (d *Distributor) started(reports int) {
+func (d *Distributor) markReady(reports int) {
 	d.ready.Store(true)
 	signal(d.wakeWatch)
 	level.Info(d.Logger).Log("msg", "newest version reached", "version", d.HeldVersion(), "reports", reports)
@@ -99,32 +99,32 @@
 // reached reports whether the node holds version and has some version in
 // force. A refused version counts as held, since the other nodes that refuse
 // it keep the one before it in force too.
-func (d *Distributor) reached(version sycamorerun.Version) bool {
+func (d *Distributor) hasReached(version sycamorerun.Version) bool {
 	tree, _ := d.Current()
 	return d.HeldVersion() >= version && (tree.Version > 0 || version == 0)
 }
 
 // mayReadStore decides whether this node asks the store after it has waited
 // for a time, which the caller stretches at random.
-func (d *Distributor) mayReadStore(reports []reported, waited time.Duration) bool {
+func (d *Distributor) mayReadStore(reports []versionReport, waited time.Duration) bool {
 	plan := d.Plan()
-	switch _, final := assess(reports); {
-	case final || waited >= storePatience || d.watchRole(plan) != planner.None:
+	switch _, authoritative := newestReport(reports); {
+	case authoritative || waited >= storeReadDelay || d.watchRole(plan) != planner.None:
 		return true
 	case len(plan.Links) == 0:
-		return waited >= solitude
+		return waited >= peerDiscoveryDelay
 	}
 	return len(reports) == 0
 }
 
 // probe asks all linked peers for their versions at once.
-func (d *Distributor) probe(ctx context.Context, timeout time.Duration) []reported {
+func (d *Distributor) probePeers(ctx context.Context, timeout time.Duration) []versionReport {
 	var (
 		group   sync.WaitGroup
 		mutex   sync.Mutex
-		reports []reported
+		reports []versionReport
 	)
-	for peer := range peers(d.Plan().Links) {
+	for peer := range linkedPeers(d.Plan().Links) {
 		group.Go(func() {
 			reply, err := d.request(ctx, peer, 0, true, timeout)
 			if err != nil {
@@ -132,7 +132,7 @@
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			reports = append(reports, reported{peer, sycamorerun.Version(reply.GetVersion()), reply.GetReady()})
+			reports = append(reports, versionReport{peer, sycamorerun.Version(reply.GetVersion()), reply.GetReady()})
 		})
 	}
 	group.Wait()
@@ -141,7 +141,7 @@
 
 // checkStore brings the node to the store's newest version. A node that has a
 // version from peers reads one slot only: the next one.
-func (d *Distributor) checkStore(ctx context.Context) error {
+func (d *Distributor) catchUpFromStore(ctx context.Context) error {
 	if held := d.HeldVersion(); held > 0 {
 		entry, _, err := d.readEntry(ctx, held+1)
 		if errors.Is(err, persister.ErrMissing) || err == nil && entry.Version <= held {
@@ -151,6 +151,6 @@
 			return err
 		}
 	}
-	_, err := d.sync(ctx)
+	_, err := d.syncLog(ctx)
 	return err
 }
--- a/node/distributor/bootstrap_document.go
+++ b/node/distributor/bootstrap_document.go
@@ -13,83 +13,83 @@
 const (
 	// documentProbe bounds the question for a peer's version, so that a peer
 	// that is silent does not hold up a start.
-	documentProbe = 400 * time.Millisecond
+	documentProbeTimeout = 400 * time.Millisecond
 	// documentPatience is how long, on average, a start waits for peers that
 	// are ready before it reads the store or takes what other peers have.
-	documentPatience = time.Second
+	documentPeerWait = time.Second
 	// documentRound is the longest pause between two rounds of a start;
 	// documentLate is the longest one of a start that lasts longer.
-	documentRound = 300 * time.Millisecond
-	documentLate  = 2 * time.Second
-	lateRounds    = 30
+	documentRoundPause     = 300 * time.Millisecond
+	documentLateRoundPause = 2 * time.Second
+	documentEarlyRounds    = 30
 	// pendingMost is how long a read may take before the store counts as
 	// unreachable for the start.
-	pendingMost = time.Second
+	maxPendingRead = time.Second
 )
 
 // opening is the state of a start with a document.
-type opening struct {
+type documentBootstrap struct {
 	started  time.Time
-	patience time.Duration
+	peerWait time.Duration
 	// reading is the result of the read in flight, which began at began.
-	reading  chan error
-	began    time.Time
-	read     bool
-	failures int
+	pendingRead   chan error
+	readStarted   time.Time
+	readSucceeded bool
+	failures      int
 	// retry is when the next read may begin.
-	retry time.Time
+	nextRead time.Time
 }
 
 // mayRead decides whether the store is read at now. The planned watchers read
 // it when no peer is ready; the others first wait for those. A node that already
 // holds what its peers have waits less, since only the answer of the store, or
 // its failure, is missing.
-func (o *opening) mayRead(now time.Time, reports []reported, held sycamorerun.Version, plan planner.Plan) bool {
-	_, final := assess(reports)
-	waited := now.Sub(o.started)
+func (b *documentBootstrap) mayRead(now time.Time, reports []versionReport, held sycamorerun.Version, plan planner.Plan) bool {
+	_, authoritative := newestReport(reports)
+	waited := now.Sub(b.started)
 	switch {
-	case o.reading != nil || o.read || now.Before(o.retry):
+	case b.pendingRead != nil || b.readSucceeded || now.Before(b.nextRead):
 		return false
-	case !final && plan.Watch != planner.None && len(plan.Links) > 0:
+	case !authoritative && plan.Watch != planner.None && len(plan.Links) > 0:
 		return true
 	case len(reports) == 0, held > 0:
-		return waited >= o.patience
+		return waited >= b.peerWait
 	}
-	return waited >= 2*o.patience
+	return waited >= 2*b.peerWait
 }
 
 // enough decides whether a node that holds the newest version reported may
 // start with it: a ready peer or the store has confirmed it, or, after the
 // patience, the store can't be reached and there is nothing better.
-func (o *opening) enough(now time.Time, reports []reported) bool {
-	_, final := assess(reports)
-	lost := o.failures > 0 || o.reading != nil && now.Sub(o.began) >= pendingMost
-	return final || o.read || lost && now.Sub(o.started) >= o.patience
+func (b *documentBootstrap) canFinish(now time.Time, reports []versionReport) bool {
+	_, authoritative := newestReport(reports)
+	storeUnreachable := b.failures > 0 || b.pendingRead != nil && now.Sub(b.readStarted) >= maxPendingRead
+	return authoritative || b.readSucceeded || storeUnreachable && now.Sub(b.started) >= b.peerWait
 }
 
 // begin starts a read.
-func (o *opening) begin(ctx context.Context, d *Distributor) {
-	o.began, o.reading = time.Now(), make(chan error, 1)
-	go func(result chan<- error) { result <- d.readDocument(ctx) }(o.reading)
+func (b *documentBootstrap) startRead(ctx context.Context, d *Distributor) {
+	b.readStarted, b.pendingRead = time.Now(), make(chan error, 1)
+	go func(result chan<- error) { result <- d.readDocument(ctx) }(b.pendingRead)
 }
 
 // finish takes the result of the read.
-func (o *opening) finish(d *Distributor, err error) {
-	o.reading, o.read = nil, err == nil
+func (b *documentBootstrap) finishRead(d *Distributor, err error) {
+	b.pendingRead, b.readSucceeded = nil, err == nil
 	if err != nil {
 		level.Debug(d.Logger).Log("msg", "start without the store", "err", err)
-		o.failures++
-		o.retry = time.Now().Add(documentRetryLeast + backoff(o.failures, documentRetryLeast, documentLate, d.Random()))
+		b.failures++
+		b.nextRead = time.Now().Add(minDocumentRetry + backoff(b.failures, minDocumentRetry, documentLateRoundPause, d.Random()))
 	}
 }
 
 // pause waits for the next round or for the result of the read.
-func (o *opening) pause(ctx context.Context, d *Distributor, limit time.Duration) {
+func (b *documentBootstrap) waitRound(ctx context.Context, d *Distributor, limit time.Duration) {
 	timer := time.NewTimer(time.Duration(d.Random() * float64(limit)))
 	defer timer.Stop()
 	select {
-	case err := <-o.reading:
-		o.finish(d, err)
+	case err := <-b.pendingRead:
+		b.finishRead(d, err)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -98,32 +98,32 @@
 // bootstrapDocument returns once the node has the newest version that the
 // reachable peers report, or the document of the store.
 func (d *Distributor) bootstrapDocument(ctx context.Context) error {
-	o := &opening{
+	b := &documentBootstrap{
 		started:  time.Now(),
-		patience: time.Duration((0.75 + 0.5*d.Random()) * float64(documentPatience)),
+		peerWait: time.Duration((0.75 + 0.5*d.Random()) * float64(documentPeerWait)),
 	}
 	for round := 0; ctx.Err() == nil; round++ {
-		reports := d.probe(ctx, documentProbe)
-		newest, _ := assess(reports)
+		reports := d.probePeers(ctx, documentProbeTimeout)
+		newest, _ := newestReport(reports)
 		if newest.version > d.HeldVersion() && newest.peer != "" {
 			d.mutex.Lock()
-			d.wants.began(time.Now(), newest.peer)
+			d.pulls.startPull(time.Now(), newest.peer)
 			d.mutex.Unlock()
 			d.pullFrom(ctx, newest.peer)
 		}
 		now := time.Now()
-		if d.HeldVersion() > 0 && d.reached(newest.version) && o.enough(now, reports) {
-			d.started(len(reports))
+		if d.HeldVersion() > 0 && d.hasReached(newest.version) && b.canFinish(now, reports) {
+			d.markReady(len(reports))
 			return nil
 		}
-		if o.mayRead(now, reports, d.HeldVersion(), d.Plan()) {
-			o.begin(ctx, d)
+		if b.mayRead(now, reports, d.HeldVersion(), d.Plan()) {
+			b.startRead(ctx, d)
 		}
-		limit := documentRound
-		if round >= lateRounds {
-			limit = documentLate
+		limit := documentRoundPause
+		if round >= documentEarlyRounds {
+			limit = documentLateRoundPause
 		}
-		o.pause(ctx, d, limit)
+		b.waitRound(ctx, d, limit)
 	}
 	return ctx.Err()
 }
--- a/node/distributor/deputy.go
+++ b/node/distributor/deputy.go
@@ -20,63 +20,63 @@
 	monitorTimeout = 500 * time.Millisecond
 	// deputyDelay is by how much a group of deputies waits longer than the one
 	// before, so that usually only one group takes over.
-	deputyDelay = 250 * time.Millisecond
+	deputyGroupDelay = 250 * time.Millisecond
 	// takeoverLeast is how long a deputy watches at least.
-	takeoverLeast = 5 * time.Second
+	minTakeover = 5 * time.Second
 )
 
 // monitor probes the planned watchers while this node is one of their deputies
 // and watches in their place when none of them reaches the store.
-func (d *Distributor) monitor(ctx context.Context) {
-	var since time.Time
+func (d *Distributor) monitorWatchers(ctx context.Context) {
+	var takeoverStart time.Time
 	for sleep(ctx, time.Duration((0.75+0.5*d.Random())*float64(monitorPeriod))) {
 		plan := d.Plan()
 		rank := slices.Index(plan.Deputies, d.Self)
 		switch {
 		case rank < 0 || !d.Ready():
-			d.takeOver(false)
-		case d.reach.failed() >= failuresMost:
+			d.setTakeover(false)
+		case d.storeHealth.consecutiveFailures() >= maxStoreFailures:
 			// A deputy that is cut off from the store itself tries at the
 			// slower pace of standAside, which bounds the calls of a fleet at a
 			// store that is down. It still hears the watchers' versions.
-			d.takeOver(false)
-			d.lookedAfter(ctx, plan.Watchers, rank)
-		case d.taken.Load():
-			if time.Since(since) >= takeoverLeast && d.anyWatching(ctx, plan.Watchers) {
-				d.takeOver(false)
+			d.setTakeover(false)
+			d.watcherReachesStore(ctx, plan.Watchers, rank)
+		case d.takeover.Load():
+			if time.Since(takeoverStart) >= minTakeover && d.anyWatching(ctx, plan.Watchers) {
+				d.setTakeover(false)
 			}
-		case d.orphaned(ctx, plan.Watchers, plan.Deputies[:rank]) && ctx.Err() == nil:
+		case d.shouldTakeOver(ctx, plan.Watchers, plan.Deputies[:rank]) && ctx.Err() == nil:
 			level.Warn(d.Logger).Log("msg", "no planned watcher reaches the store; watching in their place", "rank", rank)
-			since = time.Now()
-			d.takeOver(true)
+			takeoverStart = time.Now()
+			d.setTakeover(true)
 		}
 	}
 }
 
 // lookedAfter reports whether some watcher reaches the store, starting with
 // the one that this deputy probes. While all is well it costs one probe.
-func (d *Distributor) lookedAfter(ctx context.Context, watchers []string, rank int) bool {
-	own := rank % len(watchers)
-	if d.anyWatching(ctx, watchers[own:own+1]) {
+func (d *Distributor) watcherReachesStore(ctx context.Context, watchers []string, rank int) bool {
+	assigned := rank % len(watchers)
+	if d.anyWatching(ctx, watchers[assigned:assigned+1]) {
 		return true
 	}
 	// The session to the watcher broke, so that news may have to come from
 	// elsewhere.
-	d.askRandom(ctx, fallbackPeers)
-	return d.anyWatching(ctx, slices.Delete(slices.Clone(watchers), own, own+1))
+	d.pullFromRandomPeers(ctx, fallbackPeers)
+	return d.anyWatching(ctx, slices.Delete(slices.Clone(watchers), assigned, assigned+1))
 }
 
 // orphaned reports whether none of the watchers and of the deputies before
 // this one reaches the store.
-func (d *Distributor) orphaned(ctx context.Context, watchers, before []string) bool {
-	if d.lookedAfter(ctx, watchers, len(before)) {
+func (d *Distributor) shouldTakeOver(ctx context.Context, watchers, earlierDeputies []string) bool {
+	if d.watcherReachesStore(ctx, watchers, len(earlierDeputies)) {
 		return false
 	}
-	group := 1 + len(before)/len(watchers)
-	if !sleep(ctx, time.Duration(group)*deputyDelay) {
+	group := 1 + len(earlierDeputies)/len(watchers)
+	if !sleep(ctx, time.Duration(group)*deputyGroupDelay) {
 		return false
 	}
-	return !d.anyWatching(ctx, slices.Concat(watchers, before))
+	return !d.anyWatching(ctx, slices.Concat(watchers, earlierDeputies))
 }
 
 // anyWatching asks the named peers at once.
@@ -86,7 +86,7 @@
 	answers := make(chan bool, len(names))
 	var group sync.WaitGroup
 	for _, name := range names {
-		group.Go(func() { answers <- d.peerWatches(ctx, name) })
+		group.Go(func() { answers <- d.probeWatcher(ctx, name) })
 	}
 	for range names {
 		if <-answers {
@@ -98,18 +98,18 @@
 }
 
 // peerWatches probes one peer, which also tells its version.
-func (d *Distributor) peerWatches(ctx context.Context, name string) bool {
+func (d *Distributor) probeWatcher(ctx context.Context, name string) bool {
 	reply, err := d.request(ctx, name, 0, true, monitorTimeout)
 	if err != nil {
 		return false
 	}
-	d.heard(time.Now(), name, sycamorerun.Version(reply.GetVersion()), d.pullDelay())
+	d.observeVersion(time.Now(), name, sycamorerun.Version(reply.GetVersion()), d.pullDelay())
 	return reply.GetWatching()
 }
 
 // takeOver starts or ends the watch in place of the planned watchers.
-func (d *Distributor) takeOver(taken bool) {
-	if d.taken.Swap(taken) == taken {
+func (d *Distributor) setTakeover(active bool) {
+	if d.takeover.Swap(active) == active {
 		return
 	}
 	d.mutex.Lock()
--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -74,52 +74,52 @@
 
 	// accepting orders the acceptance of versions; it is held while one is
 	// applied. The other mutexes are held for short times only.
-	accepting sync.Mutex
-	held      atomic.Uint64
+	acceptMutex sync.Mutex
+	heldVersion atomic.Uint64
 	// refused is the newest version that was verified but refused here, the
 	// base of the entry after it.
-	refused *sycamorerun.Tree
+	refusedTree *sycamorerun.Tree
 	// recent are the trees held before, for entries that are based on them.
-	recent []sycamorerun.Tree
+	recentTrees []sycamorerun.Tree
 
-	planning sync.Mutex
+	planMutex sync.Mutex
 
-	mutex   sync.Mutex
-	ring    ring
-	wants   wants
-	parent  parent
-	links   map[string]*link
-	running context.Context
+	mutex      sync.Mutex
+	entryCache entryCache
+	pulls      pullScheduler
+	parent     parent
+	links      map[string]*link
+	runContext context.Context
 	// role is the watch that is running and stopWatch ends it.
-	role      planner.Watch
-	stopWatch context.CancelFunc
-
-	wakePull  chan struct{}
-	wakeWatch chan struct{}
-	ready     atomic.Bool
-	serving   chan struct{}
-	casting   chan struct{}
-	packed    snapshotCache
-	reach     reach
+	activeRole planner.Watch
+	stopWatch  context.CancelFunc
+
+	wakePull      chan struct{}
+	wakeWatch     chan struct{}
+	ready         atomic.Bool
+	replySlots    chan struct{}
+	gossipSlots   chan struct{}
+	snapshotCache snapshotCache
+	storeHealth   storeHealth
 	// taken is set while this node watches in place of the planned watchers.
-	taken atomic.Bool
+	takeover atomic.Bool
 }
 
 // New returns a Distributor with its defaults.
 func New() *Distributor {
 	return &Distributor{
-		Mode:         Tree,
-		StandbyDelay: func() time.Duration { return DefaultStandbyDelay },
-		PublishDistance:      func(time.Time, int) {},
-		Random:       rand.Float64,
-		Peers:        func() []string { return nil },
-		Logger:       log.NewNopLogger(),
-		wants:        wants{peers: map[string]*standing{}},
-		links:        map[string]*link{},
-		wakePull:     make(chan struct{}, 1),
-		wakeWatch:    make(chan struct{}, 1),
-		serving:      make(chan struct{}, maxServed),
-		casting:      make(chan struct{}, maxCasts),
+		Mode:            Tree,
+		StandbyDelay:    func() time.Duration { return DefaultStandbyDelay },
+		PublishDistance: func(time.Time, int) {},
+		Random:          rand.Float64,
+		Peers:           func() []string { return nil },
+		Logger:          log.NewNopLogger(),
+		pulls:           pullScheduler{peers: map[string]*peerState{}},
+		links:           map[string]*link{},
+		wakePull:        make(chan struct{}, 1),
+		wakeWatch:       make(chan struct{}, 1),
+		replySlots:      make(chan struct{}, maxLargeReplies),
+		gossipSlots:     make(chan struct{}, maxGossipSends),
 	}
 }
 
@@ -130,21 +130,21 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d.mutex.Lock()
-	d.running = ctx
+	d.runContext = ctx
 	d.mutex.Unlock()
 	d.Replan()
 	if d.Document == nil {
-		group.Go(func() { d.watch(ctx) })
+		group.Go(func() { d.watchLog(ctx) })
 	} else {
 		group.Go(func() { d.watchDocument(ctx) })
-		group.Go(func() { d.monitor(ctx) })
+		group.Go(func() { d.monitorWatchers(ctx) })
 	}
-	group.Go(func() { d.pulls(ctx) })
+	group.Go(func() { d.runPulls(ctx) })
 	switch d.Mode {
 	case Gossip:
-		group.Go(func() { d.ask(ctx) })
+		group.Go(func() { d.runAntiEntropy(ctx) })
 	case Tree:
-		group.Go(func() { d.fallback(ctx) })
+		group.Go(func() { d.runFallback(ctx) })
 	}
 	<-ctx.Done()
 	return ctx.Err()
@@ -154,26 +154,26 @@
 // change of the members.
 func (d *Distributor) Replan() {
 	// A plan that was read earlier must not replace a later one.
-	d.planning.Lock()
-	defer d.planning.Unlock()
+	d.planMutex.Lock()
+	defer d.planMutex.Unlock()
 	plan := d.Plan()
-	known := peers(plan.Links)
-	down := map[string]bool{}
+	linked := linkedPeers(plan.Links)
+	isChild := map[string]bool{}
 	for _, name := range children(plan.Links) {
-		down[name] = true
+		isChild[name] = true
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.running == nil || d.running.Err() != nil {
+	if d.runContext == nil || d.runContext.Err() != nil {
 		return
 	}
 	if d.Mode == Tree {
-		d.relink(known, down)
-		kept := map[string]bool{}
-		for name := range known {
-			kept[name] = true
+		d.updateLinks(linked, isChild)
+		retained := map[string]bool{}
+		for name := range linked {
+			retained[name] = true
 		}
-		d.wants.keep(kept)
+		d.pulls.retain(retained)
 	}
 	d.adjustWatch(plan)
 	signal(d.wakePull)
@@ -182,31 +182,31 @@
 // adjustWatch ends a watch in a role other than that of the plan; the caller
 // holds the mutex.
 func (d *Distributor) adjustWatch(plan planner.Plan) {
-	if d.stopWatch != nil && d.role != d.watchRole(plan) {
+	if d.stopWatch != nil && d.activeRole != d.watchRole(plan) {
 		d.stopWatch()
 	}
 	signal(d.wakeWatch)
 }
 
 // relink starts and stops links; the caller holds the mutex.
-func (d *Distributor) relink(known, down map[string]bool) {
+func (d *Distributor) updateLinks(linked, isChild map[string]bool) {
 	for name, link := range d.links {
-		if _, ok := known[name]; !ok {
+		if _, ok := linked[name]; !ok {
 			link.stop()
 			delete(d.links, name)
 		}
 	}
-	for name := range known {
+	for name := range linked {
 		existing, ok := d.links[name]
 		if !ok {
-			ctx, stop := context.WithCancel(d.running)
+			ctx, stop := context.WithCancel(d.runContext)
 			existing = &link{peer: name, stop: stop, wake: make(chan struct{}, 1)}
 			d.links[name] = existing
 			go existing.run(ctx, d)
 		}
-		existing.setDown(down[name])
+		existing.setChild(isChild[name])
 		if !ok && d.HeldVersion() > 0 {
-			existing.restart(d.HeldVersion())
+			existing.resetQueue(d.HeldVersion())
 		}
 	}
 }
@@ -215,7 +215,7 @@
 // above the version in force while that content is refused here.
 func (d *Distributor) HeldVersion() sycamorerun.Version {
 	tree, _ := d.Current()
-	return max(tree.Version, sycamorerun.Version(d.held.Load()))
+	return max(tree.Version, sycamorerun.Version(d.heldVersion.Load()))
 }
 
 // Ready reports whether Bootstrap has found the newest version.
@@ -236,16 +236,16 @@
 func (d *Distributor) ObserveHeartbeat(peer string, version sycamorerun.Version) {
 	now := time.Now()
 	d.mutex.Lock()
-	d.parent.hear(now, peer)
+	d.parent.observeHeartbeat(now, peer)
 	d.mutex.Unlock()
-	d.heard(now, peer, version, d.pullDelay()+d.detour(peer))
+	d.observeVersion(now, peer, version, d.pullDelay()+d.crossRegionDelay(peer))
 }
 
-func (d *Distributor) heard(now time.Time, peer string, version sycamorerun.Version, delay time.Duration) {
+func (d *Distributor) observeVersion(now time.Time, peer string, version sycamorerun.Version, delay time.Duration) {
 	held := d.HeldVersion()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.wants.heard(now, peer, version, held, delay)
+	d.pulls.observe(now, peer, version, held, delay)
 	if version > held {
 		signal(d.wakePull)
 	}
@@ -254,7 +254,7 @@
 // Entry returns a recent entry.
 func (d *Distributor) Entry(version sycamorerun.Version) (sycamorerun.Entry, bool) {
 	d.mutex.Lock()
-	data, ok := d.ring.get(version)
+	data, ok := d.entryCache.get(version)
 	d.mutex.Unlock()
 	if !ok {
 		return sycamorerun.Entry{}, false
@@ -266,11 +266,11 @@
 // Entries returns up to limit recent entries, newest first.
 func (d *Distributor) Entries(limit int) []sycamorerun.Entry {
 	d.mutex.Lock()
-	newest := slices.Clone(d.ring.entries[max(0, len(d.ring.entries)-limit):])
+	newest := slices.Clone(d.entryCache.entries[max(0, len(d.entryCache.entries)-limit):])
 	d.mutex.Unlock()
 	var entries []sycamorerun.Entry
-	for _, kept := range slices.Backward(newest) {
-		if entry, err := persister.DecodeEntry(kept.data); err == nil {
+	for _, cached := range slices.Backward(newest) {
+		if entry, err := persister.DecodeEntry(cached.data); err == nil {
 			entries = append(entries, entry)
 		}
 	}
@@ -285,25 +285,25 @@
 // although its content is intact is forwarded all the same, since the rules of
 // another node may differ, and becomes the base of the next one.
 func (d *Distributor) accept(now time.Time, entry sycamorerun.Entry, data []byte, source string) error {
-	d.accepting.Lock()
-	defer d.accepting.Unlock()
+	d.acceptMutex.Lock()
+	defer d.acceptMutex.Unlock()
 	held := d.HeldVersion()
 	if entry.Version <= held {
 		return nil
 	}
 	if base := entry.Basis(); base != held {
-		if tree, ok := d.recall(base); ok {
-			return d.advance(now, differ.Apply(tree, entry.Version, entry.Difference), entry.Hash, entry.Time, source)
+		if tree, ok := d.recentTree(base); ok {
+			return d.installWithEntry(now, differ.Apply(tree, entry.Version, entry.Difference), entry.Hash, entry.Time, source)
 		}
 		return errors.Wrapf(errGap, "version %s on top of %s after %s", entry.Version, base, held)
 	}
-	before := d.base()
-	if err := d.put(now, entry); err != nil {
+	previous := d.heldTree()
+	if err := d.applyEntry(now, entry); err != nil {
 		return err
 	}
-	d.remember(before)
+	d.addRecentTree(previous)
 	d.mutex.Lock()
-	d.ring.chain(entry.Version, held, data)
+	d.entryCache.add(entry.Version, held, data)
 	d.mutex.Unlock()
 	d.forward(entry.Version, data, source)
 	return nil
@@ -311,49 +311,49 @@
 
 // put applies entry on the tree in force or on the refused one. It returns an
 // error only when the content does not match its hash.
-func (d *Distributor) put(now time.Time, entry sycamorerun.Entry) error {
+func (d *Distributor) applyEntry(now time.Time, entry sycamorerun.Entry) error {
 	base, _ := d.Current()
-	if d.refused != nil {
-		next := differ.Apply(*d.refused, entry.Version, entry.Difference)
-		return d.settle(next, entry.Hash, d.Install(now, next, entry.Hash))
+	if d.refusedTree != nil {
+		next := differ.Apply(*d.refusedTree, entry.Version, entry.Difference)
+		return d.recordHeld(next, entry.Hash, d.Install(now, next, entry.Hash))
 	}
 	err := d.Apply(now, entry)
 	if err == nil {
-		return d.settle(sycamorerun.Tree{Version: entry.Version}, entry.Hash, nil)
+		return d.recordHeld(sycamorerun.Tree{Version: entry.Version}, entry.Hash, nil)
 	}
-	return d.settle(differ.Apply(base, entry.Version, entry.Difference), entry.Hash, err)
+	return d.recordHeld(differ.Apply(base, entry.Version, entry.Difference), entry.Hash, err)
 }
 
 // settle records the version of tree as held, in force or refused with err.
-func (d *Distributor) settle(tree sycamorerun.Tree, hash sycamorerun.Hash, err error) error {
+func (d *Distributor) recordHeld(tree sycamorerun.Tree, hash sycamorerun.Hash, err error) error {
 	if err != nil && differ.Hash(tree.Items) != hash {
 		return err
 	}
-	d.refused = nil
+	d.refusedTree = nil
 	if err != nil {
-		d.refused = &tree
+		d.refusedTree = &tree
 		d.count("distributor_refused", 1)
 	}
-	d.held.Store(uint64(tree.Version))
+	d.heldVersion.Store(uint64(tree.Version))
 	return nil
 }
 
 // install puts a whole tree in force and tells the peers.
-func (d *Distributor) install(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, source string) error {
-	d.accepting.Lock()
-	defer d.accepting.Unlock()
+func (d *Distributor) installSnapshot(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, source string) error {
+	d.acceptMutex.Lock()
+	defer d.acceptMutex.Unlock()
 	if tree.Version <= d.HeldVersion() {
 		return nil
 	}
 	if d.Document != nil {
-		return d.advance(now, tree, hash, now, source)
+		return d.installWithEntry(now, tree, hash, now, source)
 	}
-	if err := d.settle(tree, hash, d.Install(now, tree, hash)); err != nil {
+	if err := d.recordHeld(tree, hash, d.Install(now, tree, hash)); err != nil {
 		return err
 	}
 	// The entries end below the snapshot's version and no longer answer a pull.
 	d.mutex.Lock()
-	d.ring = ring{}
+	d.entryCache = entryCache{}
 	d.mutex.Unlock()
 	d.forward(tree.Version, nil, source)
 	return nil
@@ -364,17 +364,17 @@
 	signal(d.wakePull)
 	switch d.Mode {
 	case Gossip:
-		d.spread(version, source)
+		d.gossipVersion(version, source)
 	case Tree:
 		var content []byte
 		if data != nil {
-			content = frame(push(version, data))
+			content = encodeFrame(newPush(version, data))
 		}
-		d.offer(targets(d.Plan().Links, source, data != nil), version, content)
+		d.enqueue(targets(d.Plan().Links, source, data != nil), version, content)
 	}
 }
 
-func (d *Distributor) offer(to []target, version sycamorerun.Version, content []byte) {
+func (d *Distributor) enqueue(to []target, version sycamorerun.Version, content []byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, target := range to {
@@ -382,10 +382,10 @@
 		if !ok {
 			continue
 		}
-		if peer := d.wants.peers[target.peer]; peer != nil && peer.version >= version {
+		if peer := d.pulls.peers[target.peer]; peer != nil && peer.version >= version {
 			continue
 		}
-		link.offer(target, version, content)
+		link.enqueue(target, version, content)
 	}
 }
 
--- a/node/distributor/distributor_test.go
+++ b/node/distributor/distributor_test.go
@@ -26,7 +26,7 @@
 var start = time.Unix(1_800_000_000, 0)
 
 // solo returns a node without peers or a store, and its applier.
-func solo() (*Distributor, *applier.Applier) {
+func newIsolatedNode() (*Distributor, *applier.Applier) {
 	d, a := New(), &applier.Applier{}
 	d.Current = func() (sycamorerun.Tree, sycamorerun.Hash) { return a.Current().Tree, a.Current().Hash }
 	d.Apply, d.Install = a.Apply, a.Install
@@ -36,63 +36,67 @@
 
 // TestWants guards against a pull storm, a pull across regions while a near
 // peer has the version, and a version that is never pulled.
-func TestWants(t *testing.T) {
+func TestPullScheduler(t *testing.T) {
 	type step struct {
 		at   time.Duration
-		do   func(w *wants, now time.Time)
+		do   func(s *pullScheduler, now time.Time)
 		held sycamorerun.Version
 		peer string
 		wait time.Duration
 	}
-	heard := func(peer string, version sycamorerun.Version) func(*wants, time.Time) {
-		return func(w *wants, now time.Time) { w.heard(now, peer, version, 1, pullDelay) }
+	observe := func(peer string, version sycamorerun.Version) func(*pullScheduler, time.Time) {
+		return func(s *pullScheduler, now time.Time) { s.observe(now, peer, version, 1, pullDelay) }
 	}
-	began := func(peer string) func(*wants, time.Time) {
-		return func(w *wants, now time.Time) { w.began(now, peer) }
+	startPull := func(peer string) func(*pullScheduler, time.Time) {
+		return func(s *pullScheduler, now time.Time) { s.startPull(now, peer) }
 	}
-	none := func(*wants, time.Time) {}
+	noop := func(*pullScheduler, time.Time) {}
 	const ms = time.Millisecond
 	cases := map[string][]step{
-		"waits for the push":       {{0, heard("a", 2), 1, "", pullDelay}, {300 * ms, none, 1, "a", idle}},
-		"push arrived":             {{0, heard("a", 2), 1, "", pullDelay}, {300 * ms, none, 2, "", idle}},
-		"near peer first":          {{0, heard("far", 3), 1, "", pullDelay}, {300 * ms, heard("a", 2), 1, "far", pullDelay}, {600 * ms, none, 1, "a", idle}},
-		"a later Have is no delay": {{0, heard("a", 2), 1, "", pullDelay}, {200 * ms, heard("a", 3), 1, "", 100 * ms}},
-		"direct":                   {{0, heard("a", 2), 1, "", pullDelay}, {0, func(w *wants, now time.Time) { w.heard(now, "a", 2, 1, 0) }, 1, "a", idle}},
+		"waits for the push":       {{0, observe("a", 2), 1, "", pullDelay}, {300 * ms, noop, 1, "a", maxIdleWait}},
+		"push arrived":             {{0, observe("a", 2), 1, "", pullDelay}, {300 * ms, noop, 2, "", maxIdleWait}},
+		"near peer first":          {{0, observe("far", 3), 1, "", pullDelay}, {300 * ms, observe("a", 2), 1, "far", pullDelay}, {600 * ms, noop, 1, "a", maxIdleWait}},
+		"a later Have is no delay": {{0, observe("a", 2), 1, "", pullDelay}, {200 * ms, observe("a", 3), 1, "", 100 * ms}},
+		"direct":                   {{0, observe("a", 2), 1, "", pullDelay}, {0, func(s *pullScheduler, now time.Time) { s.observe(now, "a", 2, 1, 0) }, 1, "a", maxIdleWait}},
 		"one pull, then a hedge": {
-			{0, heard("a", 2), 1, "", pullDelay},
-			{0, heard("b", 2), 1, "", pullDelay},
-			{0, heard("c", 2), 1, "", pullDelay},
-			{300 * ms, began("a"), 1, "", hedgeDelay},
-			{1300 * ms, none, 1, "b", idle},
-			{1300 * ms, began("b"), 1, "", idle},
+			{0, observe("a", 2), 1, "", pullDelay},
+			{0, observe("b", 2), 1, "", pullDelay},
+			{0, observe("c", 2), 1, "", pullDelay},
+			{300 * ms, startPull("a"), 1, "", hedgeDelay},
+			{1300 * ms, noop, 1, "b", maxIdleWait},
+			{1300 * ms, startPull("b"), 1, "", maxIdleWait},
 		},
 		"failure": {
-			{0, heard("a", 2), 1, "", pullDelay},
-			{300 * ms, began("a"), 1, "", hedgeDelay},
-			{400 * ms, func(w *wants, now time.Time) { w.failed(now, "a", 0.5) }, 1, "", 50 * ms},
-			{450 * ms, none, 1, "a", idle},
+			{0, observe("a", 2), 1, "", pullDelay},
+			{300 * ms, startPull("a"), 1, "", hedgeDelay},
+			{400 * ms, func(s *pullScheduler, now time.Time) { s.failPull(now, "a", 0.5) }, 1, "", 50 * ms},
+			{450 * ms, noop, 1, "a", maxIdleWait},
 		},
 		"busy": {
-			{0, heard("a", 2), 1, "", pullDelay},
-			{300 * ms, func(w *wants, now time.Time) { w.began(now, "a"); w.ended(now, "a", 2, 70*ms) }, 1, "", 70 * ms},
+			{0, observe("a", 2), 1, "", pullDelay},
+			{300 * ms, func(s *pullScheduler, now time.Time) { s.startPull(now, "a"); s.finishPull(now, "a", 2, 70*ms) }, 1, "", 70 * ms},
 		},
 		"peer went back": {
-			{0, heard("a", 9), 1, "", pullDelay},
-			{300 * ms, func(w *wants, now time.Time) { w.began(now, "a"); w.ended(now, "a", 1, 0) }, 1, "", idle},
+			{0, observe("a", 9), 1, "", pullDelay},
+			{300 * ms, func(s *pullScheduler, now time.Time) { s.startPull(now, "a"); s.finishPull(now, "a", 1, 0) }, 1, "", maxIdleWait},
 		},
 		"Have during a pull": {
-			{0, heard("a", 2), 1, "", pullDelay},
-			{300 * ms, func(w *wants, now time.Time) { w.began(now, "a"); heard("a", 3)(w, now); w.ended(now, "a", 2, 0) }, 2, "a", idle},
+			{0, observe("a", 2), 1, "", pullDelay},
+			{300 * ms, func(s *pullScheduler, now time.Time) {
+				s.startPull(now, "a")
+				observe("a", 3)(s, now)
+				s.finishPull(now, "a", 2, 0)
+			}, 2, "a", maxIdleWait},
 		},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := &wants{peers: map[string]*standing{}}
+			s := &pullScheduler{peers: map[string]*peerState{}}
 			for _, step := range steps {
 				now := start.Add(step.at)
-				step.do(w, now)
-				peer, wait := w.next(now, step.held, func(name string) bool { return name == "far" })
+				step.do(s, now)
+				peer, wait := s.next(now, step.held, func(name string) bool { return name == "far" })
 				is.Equal(peer, step.peer)
 				if peer == "" {
 					is.Equal(wait, step.wait)
@@ -131,7 +135,7 @@
 // against an overflow after which the peer is not told what it lacks.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q, content := queue{}, make([]byte, queueBytes)
+		q, content := queue{}, make([]byte, maxQueuedBytes)
 		sent, received, last := 0, sycamorerun.Version(0), sycamorerun.Version(0)
 		drain := func() {
 			data, ok := q.next()
@@ -155,11 +159,11 @@
 				continue
 			}
 			last++
-			size := rapid.SampledFrom([]int{1, 1 << 10, 200 << 10, queueBytes}).Draw(t, "size")
+			size := rapid.SampledFrom([]int{1, 1 << 10, 200 << 10, maxQueuedBytes}).Draw(t, "size")
 			content[0] = 1
-			q.push(last, content[:size])
+			q.addPush(last, content[:size])
 			sent++
-			if len(q.frames) > queueFrames || q.bytes > queueBytes {
+			if len(q.frames) > maxQueuedFrames || q.bytes > maxQueuedBytes {
 				t.Fatalf("%d frames, %d bytes", len(q.frames), q.bytes)
 			}
 		}
@@ -174,23 +178,23 @@
 
 // TestRing guards against an answer with a gap and against memory without
 // bound.
-func TestRing(t *testing.T) {
+func TestEntryCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r ring
+		var c entryCache
 		last := sycamorerun.Version(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			last += sycamorerun.Version(rapid.SampledFrom([]int{1, 1, 1, 1, 1, 1, 7}).Draw(t, "step"))
-			r.chain(last, last-1, make([]byte, rapid.SampledFrom([]int{1, 1000, ringBytes / 4, ringBytes}).Draw(t, "size")))
-			if r.bytes > ringBytes || len(r.entries) > ringEntries {
-				t.Fatalf("%d bytes, %d entries", r.bytes, len(r.entries))
+			c.add(last, last-1, make([]byte, rapid.SampledFrom([]int{1, 1000, maxCachedBytes / 4, maxCachedBytes}).Draw(t, "size")))
+			if c.bytes > maxCachedBytes || len(c.entries) > maxCachedEntries {
+				t.Fatalf("%d bytes, %d entries", c.bytes, len(c.entries))
 			}
 		}
 		after := sycamorerun.Version(rapid.IntRange(0, int(last)).Draw(t, "after"))
-		entries, _, ok := r.after(after)
+		entries, _, ok := c.after(after)
 		if ok && sycamorerun.Version(len(entries)) != last-after {
 			t.Fatalf("%d entries after %s of %s", len(entries), after, last)
 		}
-		if _, held := r.get(after + 1); held != ok && after < last {
+		if _, held := c.get(after + 1); held != ok && after < last {
 			t.Fatalf("get %v, after %v", held, ok)
 		}
 	})
@@ -215,21 +219,21 @@
 func TestReply(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
-	d, _ := solo()
+	d, _ := newIsolatedNode()
 	for range 200 {
-		d.ApplyCommitted(start, store.next())
+		d.ApplyCommitted(start, store.nextEntry())
 	}
-	reply, _ := d.reply(199, false)
+	reply, _ := d.buildReply(199, false)
 	is.Equal(len(reply.GetEntries()), 1)
-	reply, large := d.reply(10, false)
+	reply, large := d.buildReply(10, false)
 	is.True(reply.GetSnapshot() != nil && large) // 190 entries exceed the tree of 7 services
-	reply, _ = d.reply(200, false)
+	reply, _ = d.buildReply(200, false)
 	is.True(reply.GetSnapshot() == nil && reply.GetEntries() == nil)
-	follower, a := solo()
-	reply, _ = d.reply(0, false)
-	is.NoErr(follower.absorb(start, "peer", reply))
+	follower, a := newIsolatedNode()
+	reply, _ = d.buildReply(0, false)
+	is.NoErr(follower.acceptReply(start, "peer", reply))
 	is.Equal(a.Current().Tree.Version, sycamorerun.Version(200))
-	reply, _ = follower.reply(199, false)
+	reply, _ = follower.buildReply(199, false)
 	is.True(reply.GetSnapshot() != nil)
 	entry, ok := d.Entry(150)
 	is.True(ok)
@@ -237,19 +241,19 @@
 }
 
 // TestBusy guards against a herd of pulls that takes all of a node's memory.
-func TestBusy(t *testing.T) {
+func TestLargeReplyLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		d, _ := solo()
+		d, _ := newIsolatedNode()
 		for range 200 {
-			d.ApplyCommitted(start, store.next())
+			d.ApplyCommitted(start, store.nextEntry())
 		}
 		busy, served := 0, 0
 		var streams []net.Conn
 		for range 20 {
 			near, far := net.Pipe()
 			go d.Serve(t.Context(), "peer", far)
-			_, _ = encoder.Write(near, want(0, false))
+			_, _ = encoder.Write(near, newWant(0, false))
 			synctest.Wait()
 			streams = append(streams, near)
 		}
@@ -265,7 +269,7 @@
 			}
 			_ = stream.Close()
 		}
-		if served != maxServed || busy != 20-maxServed {
+		if served != maxLargeReplies || busy != 20-maxLargeReplies {
 			t.Errorf("%d served, %d busy", served, busy)
 		}
 	})
@@ -276,10 +280,10 @@
 func TestSilentPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		source, _ := solo()
-		d, a := solo()
+		source, _ := newIsolatedNode()
+		d, a := newIsolatedNode()
 		for range 5 {
-			source.ApplyCommitted(start, store.next())
+			source.ApplyCommitted(start, store.nextEntry())
 		}
 		d.Open = func(_ context.Context, peer, _ string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -305,17 +309,17 @@
 
 // TestAlone guards against a store that is read in full by each node of a fleet
 // that restarts, before the nodes know each other.
-func TestAlone(t *testing.T) {
+func TestBootstrapWithoutPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
 		store.commit(3)
-		d, a := solo()
-		d.Store = store.store(0, func() bool { return true })
+		d, a := newIsolatedNode()
+		d.Store = store.client(0, func() bool { return true })
 		d.Plan = func() planner.Plan { return planner.Plan{Watch: planner.Primary} }
 		go func() { _ = d.Run(t.Context()) }()
 		go func() { _ = d.Bootstrap(t.Context()) }()
-		time.Sleep(solitude - time.Millisecond)
-		store.set(func() {
+		time.Sleep(peerDiscoveryDelay - time.Millisecond)
+		store.update(func() {
 			if store.cost.calls != 0 {
 				t.Errorf("%d store calls", store.cost.calls)
 			}
@@ -323,8 +327,8 @@
 		time.Sleep(5 * time.Second)
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		if !d.Ready() || a.Current().Tree.Version != 3 || d.role != planner.Primary {
-			t.Errorf("ready %v, version %s, role %s", d.Ready(), a.Current().Tree.Version, d.role)
+		if !d.Ready() || a.Current().Tree.Version != 3 || d.activeRole != planner.Primary {
+			t.Errorf("ready %v, version %s, role %s", d.Ready(), a.Current().Tree.Version, d.activeRole)
 		}
 	})
 }
@@ -334,7 +338,7 @@
 func TestRefused(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
-	d, a := solo()
+	d, a := newIsolatedNode()
 	a.Validate = func(items map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
 		if strings.Contains(string(items["quoting/service/desk-3"]), ":3}") {
 			return []sycamorerun.Fault{{Code: "test"}}
@@ -343,7 +347,7 @@
 	}
 	versions := []sycamorerun.Version{}
 	for range 12 {
-		d.ApplyCommitted(start, store.next())
+		d.ApplyCommitted(start, store.nextEntry())
 		versions = append(versions, a.Current().Tree.Version)
 	}
 	is.Equal(versions, []sycamorerun.Version{1, 2, 2, 2, 2, 2, 2, 2, 2, 10, 11, 12})
@@ -355,7 +359,7 @@
 // TestOld guards against late copies that take a node back behind a version
 // that it refused or are passed on again, and against a gap that looks like
 // damage, for which nobody would be asked again.
-func TestOld(t *testing.T) {
+func TestOutdatedContent(t *testing.T) {
 	cases := map[string]struct {
 		offer func(d *Distributor, store *fakeStore, entries []sycamorerun.Entry) error
 		err   error
@@ -365,18 +369,18 @@
 		"entry after gap": {func(d *Distributor, _ *fakeStore, e []sycamorerun.Entry) error { return d.accept(start, e[4], nil, "") }, errGap},
 		"tree in force": {func(d *Distributor, s *fakeStore, e []sycamorerun.Entry) error {
 			tree := differ.Apply(sycamorerun.Tree{}, 1, e[0].Difference)
-			return d.install(start, tree, s.hashes[1], "")
+			return d.installSnapshot(start, tree, s.hashes[1], "")
 		}, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			store := newStore()
-			d, a := solo()
+			d, a := newIsolatedNode()
 			a.Validate = func(map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
 				return make([]sycamorerun.Fault, a.Current().Tree.Version/2)
 			}
-			entries := []sycamorerun.Entry{store.next(), store.next(), store.next(), store.next(), store.next()}
+			entries := []sycamorerun.Entry{store.nextEntry(), store.nextEntry(), store.nextEntry(), store.nextEntry(), store.nextEntry()}
 			for _, entry := range entries[:3] {
 				d.ApplyCommitted(start, entry)
 			}
@@ -417,9 +421,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d, _ := solo()
+			d, _ := newIsolatedNode()
 			d.Store.Get = func(context.Context, string) (persister.Object, error) { return c.object, c.err }
-			revision, wrapped, err := d.anchor(t.Context(), 7+persister.RingSlots)
+			revision, wrapped, err := d.entryRevision(t.Context(), 7+persister.RingSlots)
 			is.Equal(errors.Is(err, errStale), c.stale)
 			is.Equal(err == nil, !c.stale && c.err == nil)
 			is.Equal(wrapped, c.wrapped)
@@ -433,7 +437,7 @@
 // cover.
 func TestDamaged(t *testing.T) {
 	store := newStore()
-	entry := store.next()
+	entry := store.nextEntry()
 	data, _ := persister.EncodeEntry(entry)
 	later := entry
 	later.Version = 2
@@ -448,8 +452,8 @@
 	}
 	for name, message := range cases {
 		t.Run(name, func(t *testing.T) {
-			d, a := solo()
-			err := d.pushed(start, "peer", message)
+			d, a := newIsolatedNode()
+			err := d.handlePush(start, "peer", message)
 			is.New(t).True(err != nil)
 			is.New(t).Equal(a.Current().Tree.Version, sycamorerun.Version(0))
 		})
@@ -462,25 +466,25 @@
 	store := newStore()
 	var frames []byte
 	for range 3 {
-		entry := store.next()
+		entry := store.nextEntry()
 		data, _ := persister.EncodeEntry(entry)
-		frames = append(frames, frame(push(entry.Version, data))...)
-		frames = append(frames, frame(want(0, false))...)
+		frames = append(frames, encodeFrame(newPush(entry.Version, data))...)
+		frames = append(frames, encodeFrame(newWant(0, false))...)
 	}
 	f.Add(frames)
 	for _, base := range []sycamorerun.Version{3, 4, 9} {
-		entry := store.next()
+		entry := store.nextEntry()
 		entry.Version, entry.Base = 9, base
 		data, _ := persister.EncodeEntry(entry)
-		f.Add(slices.Concat(frames, frame(push(9, data)), frame(want(3, false))))
+		f.Add(slices.Concat(frames, encodeFrame(newPush(9, data)), encodeFrame(newWant(3, false))))
 	}
 	tree := differ.Hash(store.tree.Items)
 	data, _ := persister.EncodeSnapshot(store.tree, tree)
-	f.Add(slices.Concat(frame(have(7, true)), frame(&Message{Kind: &Message_Survey{Survey: &Survey{}}}), []byte{0, 0, 0, 9, 1}))
-	f.Add(frame(&Reply{Version: 3, Snapshot: pack(data)}))
+	f.Add(slices.Concat(encodeFrame(newHave(7, true)), encodeFrame(&Message{Kind: &Message_Survey{Survey: &Survey{}}}), []byte{0, 0, 0, 9, 1}))
+	f.Add(encodeFrame(&Reply{Version: 3, Snapshot: pack(data)}))
 	f.Add([]byte{255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, input []byte) {
-		d, a := solo()
+		d, a := newIsolatedNode()
 		near, far := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, near) }()
 		go func() {
@@ -489,7 +493,7 @@
 		}()
 		d.Serve(context.Background(), "peer", far)
 		if reply, err := readReply(bytes.NewReader(input)); err == nil {
-			_ = d.absorb(start, "peer", reply)
+			_ = d.acceptReply(start, "peer", reply)
 		}
 		if report, err := encoder.Read[Report](bytes.NewReader(input), surveyFrameBytes); err == nil {
 			_ = toReport(fromReport(report))
--- a/node/distributor/document.go
+++ b/node/distributor/document.go
@@ -29,21 +29,21 @@
 	// documentWait is the longest wait of a watch at the store, documentMargin
 	// the time for the answer. Together they bound how long a silent
 	// connection is waited for.
-	documentWait   = 3 * time.Second
-	documentMargin = 1500 * time.Millisecond
+	documentWatchWait   = 3 * time.Second
+	documentWatchMargin = 1500 * time.Millisecond
 	// documentRead bounds a read of a store that is slow.
-	documentRead = 2500 * time.Millisecond
+	documentReadTimeout = 2500 * time.Millisecond
 	// documentRetryLeast and documentRetryMost bound the delay after a failed
 	// call.
-	documentRetryLeast = 100 * time.Millisecond
-	documentRetryMost  = time.Second
+	minDocumentRetry = 100 * time.Millisecond
+	maxDocumentRetry = time.Second
 	// documentPullDelay is how long a node waits for a push after a Have.
 	// Watchers can be leaves of the trees, from which a version travels up
 	// through several Haves.
 	documentPullDelay = 100 * time.Millisecond
 	// recentTrees is how many trees a node keeps to apply entries of watchers
 	// that missed a version in between. They share their items.
-	recentTrees = 4
+	maxRecentTrees = 4
 )
 
 func (d *Distributor) pullDelay() time.Duration {
@@ -54,28 +54,28 @@
 }
 
 // base returns the tree of the held version, which may be a refused one.
-func (d *Distributor) base() sycamorerun.Tree {
-	if d.refused != nil {
-		return *d.refused
+func (d *Distributor) heldTree() sycamorerun.Tree {
+	if d.refusedTree != nil {
+		return *d.refusedTree
 	}
 	tree, _ := d.Current()
 	return tree
 }
 
 // remember keeps a tree that was held; the caller holds accepting.
-func (d *Distributor) remember(tree sycamorerun.Tree) {
+func (d *Distributor) addRecentTree(tree sycamorerun.Tree) {
 	if d.Document == nil || tree.Version == 0 {
 		return
 	}
-	d.recent = append(d.recent, tree)
-	if len(d.recent) > recentTrees {
-		d.recent = append([]sycamorerun.Tree{}, d.recent[1:]...)
+	d.recentTrees = append(d.recentTrees, tree)
+	if len(d.recentTrees) > maxRecentTrees {
+		d.recentTrees = append([]sycamorerun.Tree{}, d.recentTrees[1:]...)
 	}
 }
 
 // recall returns a tree that was held; the caller holds accepting.
-func (d *Distributor) recall(version sycamorerun.Version) (sycamorerun.Tree, bool) {
-	for _, tree := range d.recent {
+func (d *Distributor) recentTree(version sycamorerun.Version) (sycamorerun.Tree, bool) {
+	for _, tree := range d.recentTrees {
 		if tree.Version == version {
 			return tree, true
 		}
@@ -86,18 +86,18 @@
 // advance puts a whole tree in force. It is passed on as an entry based on the
 // version held before, which the nodes below hold too. The caller holds
 // accepting and has compared the versions.
-func (d *Distributor) advance(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, written time.Time, source string) error {
-	before := d.base()
-	if err := d.settle(tree, hash, d.Install(now, tree, hash)); err != nil {
+func (d *Distributor) installWithEntry(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, acceptedAt time.Time, source string) error {
+	previous := d.heldTree()
+	if err := d.recordHeld(tree, hash, d.Install(now, tree, hash)); err != nil {
 		return err
 	}
-	d.remember(before)
+	d.addRecentTree(previous)
 	var data []byte
-	if before.Version > 0 {
+	if previous.Version > 0 {
 		var err error
 		data, err = persister.EncodeEntry(sycamorerun.Entry{
-			Version: tree.Version, Base: before.Version, Hash: hash, Time: written,
-			Difference: differ.Compare(before.Items, tree.Items),
+			Version: tree.Version, Base: previous.Version, Hash: hash, Time: acceptedAt,
+			Difference: differ.Compare(previous.Items, tree.Items),
 		})
 		if err != nil {
 			level.Warn(d.Logger).Log("msg", "difference not packed; peers pull a snapshot", "version", tree.Version, "err", err)
@@ -106,9 +106,9 @@
 	}
 	d.mutex.Lock()
 	if data == nil {
-		d.ring = ring{}
+		d.entryCache = entryCache{}
 	} else {
-		d.ring.chain(tree.Version, before.Version, data)
+		d.entryCache.add(tree.Version, previous.Version, data)
 	}
 	d.mutex.Unlock()
 	d.forward(tree.Version, data, source)
@@ -117,17 +117,17 @@
 
 // take accepts a tree from the store. One that is not newer than the held
 // version is ignored.
-func (d *Distributor) take(now time.Time, tree sycamorerun.Tree) error {
+func (d *Distributor) acceptDocument(now time.Time, tree sycamorerun.Tree) error {
 	hash := differ.Hash(tree.Items)
-	d.accepting.Lock()
-	defer d.accepting.Unlock()
+	d.acceptMutex.Lock()
+	defer d.acceptMutex.Unlock()
 	if held := d.HeldVersion(); tree.Version <= held {
 		if tree.Version < held {
 			d.count("distributor_stale_documents", 1)
 		}
 		return nil
 	}
-	return d.advance(now, tree, hash, now, "")
+	return d.installWithEntry(now, tree, hash, now, "")
 }
 
 // documentRole is the role in the plan. A node that is not ready leaves the
@@ -137,7 +137,7 @@
 	switch {
 	case !d.Ready():
 		return planner.None
-	case d.Mode == Poll, d.taken.Load(), plan.Watch == planner.Standby:
+	case d.Mode == Poll, d.takeover.Load(), plan.Watch == planner.Standby:
 		return planner.Primary
 	}
 	return plan.Watch
@@ -146,36 +146,36 @@
 // watchDocument follows the document in the role that the plan gives this node.
 func (d *Distributor) watchDocument(ctx context.Context) {
 	for ctx.Err() == nil {
-		role, following := d.beginWatch(ctx)
+		role, watchCtx := d.startWatch(ctx)
 		if role != d.watchRole(d.Plan()) {
 			continue
 		}
 		if role == planner.None {
-			d.standAside(ctx)
+			d.waitForRole(ctx)
 			continue
 		}
-		err := d.followDocument(following)
-		if following.Err() != nil {
+		err := d.followDocument(watchCtx)
+		if watchCtx.Err() != nil {
 			continue
 		}
 		level.Warn(d.Logger).Log("msg", "watch of the document failed; retrying", "err", err)
 		// A store that answers, but not with a document to follow, gets no
 		// quick retries.
-		delay := documentRetryMost
-		if failures := d.reach.failed(); failures > 0 {
-			delay = backoff(failures, documentRetryLeast, documentRetryMost, d.Random())
+		delay := maxDocumentRetry
+		if failures := d.storeHealth.consecutiveFailures(); failures > 0 {
+			delay = backoff(failures, minDocumentRetry, maxDocumentRetry, d.Random())
 		}
-		_ = sleep(following, delay)
+		_ = sleep(watchCtx, delay)
 	}
 }
 
 // standAside waits for a change of the role. A node whose calls failed tries
 // the store from time to time, to be of use again. It watches when it can: the
 // answer has the document only when that has changed.
-func (d *Distributor) standAside(ctx context.Context) {
-	wait := idle
+func (d *Distributor) waitForRole(ctx context.Context) {
+	wait := maxIdleWait
 	if d.Ready() {
-		wait = d.reach.wait(time.Now())
+		wait = d.storeHealth.probeDelay(time.Now())
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -183,11 +183,11 @@
 	case <-ctx.Done():
 	case <-d.wakeWatch:
 	case <-timer.C:
-		try := d.readDocument
-		if d.reach.revision() > 0 {
-			try = func(ctx context.Context) error { _, err := d.watchDocumentOnce(ctx); return err }
+		callStore := d.readDocument
+		if d.storeHealth.revision() > 0 {
+			callStore = func(ctx context.Context) error { _, err := d.watchDocumentOnce(ctx); return err }
 		}
-		if err := try(ctx); err != nil {
+		if err := callStore(ctx); err != nil {
 			level.Debug(d.Logger).Log("msg", "store not reached", "err", err)
 		}
 	}
@@ -196,7 +196,7 @@
 // followDocument watches the document until an error.
 func (d *Distributor) followDocument(ctx context.Context) error {
 	for compacted := false; ctx.Err() == nil; {
-		if d.reach.revision() == 0 {
+		if d.storeHealth.revision() == 0 {
 			if err := d.readDocument(ctx); err != nil {
 				return err
 			}
@@ -211,8 +211,8 @@
 			return err
 		}
 		compacted = false
-		if !changed && time.Since(started) < emptyPause {
-			_ = sleep(ctx, emptyPause)
+		if !changed && time.Since(started) < emptyWatchPause {
+			_ = sleep(ctx, emptyWatchPause)
 		}
 	}
 	return ctx.Err()
@@ -220,57 +220,57 @@
 
 // watchDocumentOnce is one watch at the store.
 func (d *Distributor) watchDocumentOnce(ctx context.Context) (bool, error) {
-	limited, cancel := context.WithTimeout(ctx, documentWait+documentMargin)
+	callCtx, cancel := context.WithTimeout(ctx, documentWatchWait+documentWatchMargin)
 	defer cancel()
 	d.count("distributor_store_calls", 1)
-	after := d.reach.revision()
+	after := d.storeHealth.revision()
 	started := time.Now()
-	tree, next, changed, err := d.Document.Watch(limited, after)
+	tree, next, changed, err := d.Document.Watch(callCtx, after)
 	switch {
 	case ctx.Err() != nil:
 		return false, ctx.Err()
 	case errors.Is(err, persister.ErrCompacted):
-		d.answered(time.Now(), 0)
-		d.reach.follow(0)
+		d.recordStoreSuccess(time.Now(), 0)
+		d.storeHealth.setRevision(0)
 		return false, err
 	case errors.Is(err, persister.ErrMissing):
-		d.answered(time.Now(), 0)
+		d.recordStoreSuccess(time.Now(), 0)
 		return false, err
 	case err != nil:
 		now := time.Now()
-		if now.Sub(started) >= silentWatch {
-			d.reach.silent()
+		if now.Sub(started) >= silentWatchThreshold {
+			d.storeHealth.recordSilence()
 		}
-		d.unanswered(now)
+		d.recordStoreFailure(now)
 		return false, err
 	}
-	d.answered(time.Now(), 0)
-	d.reach.follow(max(after, next))
+	d.recordStoreSuccess(time.Now(), 0)
+	d.storeHealth.setRevision(max(after, next))
 	if !changed {
 		return false, nil
 	}
-	return true, d.take(time.Now(), tree)
+	return true, d.acceptDocument(time.Now(), tree)
 }
 
 // readDocument is one read of the store. Its latency is the distance.
 func (d *Distributor) readDocument(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, documentRead)
+	callCtx, cancel := context.WithTimeout(ctx, documentReadTimeout)
 	defer cancel()
 	d.count("distributor_store_calls", 1)
 	started := time.Now()
-	tree, revision, err := d.Document.Read(limited)
+	tree, revision, err := d.Document.Read(callCtx)
 	now := time.Now()
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case errors.Is(err, persister.ErrMissing):
-		d.answered(now, max(1, now.Sub(started)))
+		d.recordStoreSuccess(now, max(1, now.Sub(started)))
 		return err
 	case err != nil:
-		d.unanswered(now)
+		d.recordStoreFailure(now)
 		return err
 	}
-	d.answered(now, max(1, now.Sub(started)))
-	d.reach.follow(revision)
-	return d.take(now, tree)
+	d.recordStoreSuccess(now, max(1, now.Sub(started)))
+	d.storeHealth.setRevision(revision)
+	return d.acceptDocument(now, tree)
 }
--- a/node/distributor/document_fleet_test.go
+++ b/node/distributor/document_fleet_test.go
@@ -25,10 +25,10 @@
 )
 
 // follow returns the document as seen from a member that is delay away.
-func (f *fleet) follow(m *member, delay time.Duration) *Document {
+func (f *fleet) newDocument(m *member, delay time.Duration) *Document {
 	// wait looks for a revision above after for some time.
 	wait := func(ctx context.Context, after persister.Revision, limit time.Duration) (sycamorerun.Tree, persister.Revision, error) {
-		f.store.set(func() { f.store.cost.calls++ })
+		f.store.update(func() { f.store.cost.calls++ })
 		for begin := time.Now(); sleep(ctx, delay); {
 			switch f.fault(m) {
 			case rejects:
@@ -55,13 +55,13 @@
 }
 
 func (f *fleet) fault(m *member) (found fault) {
-	f.set(func() { found = m.fault })
+	f.update(func() { found = m.fault })
 	return found
 }
 
 func (f *fleet) fail(kind fault, names ...string) {
 	for _, name := range names {
-		f.set(func() { f.members[name].fault, f.members[name].mute = kind, kind == paused })
+		f.update(func() { f.members[name].fault, f.members[name].stalled = kind, kind == paused })
 		if kind == killed {
 			f.kill(name)
 		}
@@ -69,20 +69,20 @@
 }
 
 // order returns the watchers and their deputies.
-func (f *fleet) order() []string {
+func (f *fleet) watchOrder() []string {
 	plan := planner.New("node-00", f.instances(), f.options)
 	return slices.Concat(plan.Watchers, plan.Deputies)
 }
 
 func (f *fleet) instances() (all []sycamorerun.Instance) {
 	for _, name := range f.names() {
-		f.set(func() { all = append(all, f.members[name].Instance) })
+		f.update(func() { all = append(all, f.members[name].Instance) })
 	}
 	return all
 }
 
 // until returns how long it takes until reached, or fails after a bound.
-func until(t *testing.T, what string, bound time.Duration, reached func() bool) {
+func waitUntil(t *testing.T, what string, bound time.Duration, reached func() bool) {
 	t.Helper()
 	begin := time.Now()
 	for !reached() {
@@ -94,31 +94,31 @@
 	t.Log(what, time.Since(begin))
 }
 
-func (f *fleet) ready(names ...string) func() bool {
+func (f *fleet) allReady(names ...string) func() bool {
 	return func() bool {
 		return !slices.ContainsFunc(names, func(name string) bool { return !f.members[name].process.Load().Ready() })
 	}
 }
 
 // watched reports whether a healthy member watches the store.
-func (f *fleet) watched() bool {
+func (f *fleet) storeWatched() bool {
 	return slices.ContainsFunc(f.names(), func(name string) bool {
 		m := f.members[name]
 		return f.fault(m) == healthy && m.process.Load().watching(time.Now())
 	})
 }
 
-func runDocument(t *testing.T, scenario func(t *testing.T, f *fleet)) {
+func runDocumentFleet(t *testing.T, scenario func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, Tree, 14)
-		f.options, f.document = planner.Options{Watchers: 3}, f.follow
+		f.options, f.newMemberDocument = planner.Options{Watchers: 3}, f.newDocument
 		defer func() {
 			f.stop()
 			f.fail(healthy, f.names()...)
 			time.Sleep(time.Minute)
 			synctest.Wait()
 		}()
-		f.store.edit(10)
+		f.store.writeDocument(10)
 		scenario(t, f)
 	})
 }
@@ -126,9 +126,9 @@
 // The targets: a version in force everywhere, the same while the store fails
 // for some members, and a working watcher.
 const (
-	inForce  = 2500 * time.Millisecond
-	impaired = 7500 * time.Millisecond
-	takeover = 3 * time.Second
+	convergeBound = 2500 * time.Millisecond
+	impairedBound = 7500 * time.Millisecond
+	takeoverBound = 3 * time.Second
 )
 
 // TestTakeover guards against a fleet without a working watcher, and against a
@@ -143,23 +143,23 @@
 		watched  time.Duration
 		converge time.Duration
 	}{
-		"watchers killed":                {[]failing{{killed, 0, 3}}, takeover, impaired},
-		"watchers and deputies killed":   {[]failing{{killed, 0, 9}}, takeover, impaired},
-		"watchers paused":                {[]failing{{paused, 0, 3}}, takeover, impaired},
-		"a third rejected":               {[]failing{{rejects, 0, 5}}, takeover, inForce},
-		"watchers killed, next rejected": {[]failing{{killed, 0, 3}, {rejects, 3, 7}}, takeover, impaired},
-		"store silent for the watchers":  {[]failing{{silent, 0, 3}}, impaired, impaired},
+		"watchers killed":                {[]failing{{killed, 0, 3}}, takeoverBound, impairedBound},
+		"watchers and deputies killed":   {[]failing{{killed, 0, 9}}, takeoverBound, impairedBound},
+		"watchers paused":                {[]failing{{paused, 0, 3}}, takeoverBound, impairedBound},
+		"a third rejected":               {[]failing{{rejects, 0, 5}}, takeoverBound, convergeBound},
+		"watchers killed, next rejected": {[]failing{{killed, 0, 3}, {rejects, 3, 7}}, takeoverBound, impairedBound},
+		"store silent for the watchers":  {[]failing{{silent, 0, 3}}, impairedBound, impairedBound},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			runDocument(t, func(t *testing.T, f *fleet) {
+			runDocumentFleet(t, func(t *testing.T, f *fleet) {
 				f.start(f.names()...)
 				time.Sleep(10 * time.Second)
-				for order := f.order(); len(c.failing) > 0; c.failing = c.failing[1:] {
+				for order := f.watchOrder(); len(c.failing) > 0; c.failing = c.failing[1:] {
 					f.fail(c.failing[0].fault, order[c.failing[0].from:c.failing[0].to]...)
 				}
-				f.store.edit(20)
-				until(t, "watched", c.watched, f.watched)
+				f.store.writeDocument(20)
+				waitUntil(t, "watched", c.watched, f.storeWatched)
 				t.Log("in force", mustConverge(t, f, 20, c.converge))
 			})
 		})
@@ -172,52 +172,52 @@
 	cases := map[string]func(t *testing.T, f *fleet){
 		"cold start": func(t *testing.T, f *fleet) {
 			f.start(f.names()...)
-			until(t, "ready", 2*time.Second, f.ready(f.names()...))
+			waitUntil(t, "ready", 2*time.Second, f.allReady(f.names()...))
 			// Each watcher reads and watches once; the others read nothing.
 			if calls := f.cost().calls; calls > 2*3 {
 				t.Errorf("%d calls", calls)
 			}
 		},
 		"cold start, a third rejected": func(t *testing.T, f *fleet) {
-			f.fail(rejects, f.order()[:4]...)
+			f.fail(rejects, f.watchOrder()[:4]...)
 			f.start(f.names()...)
-			until(t, "ready", takeover, f.ready(f.names()...))
+			waitUntil(t, "ready", takeoverBound, f.allReady(f.names()...))
 		},
 		"cold start, store down": func(t *testing.T, f *fleet) {
 			f.fail(rejects, f.names()...)
 			f.start(f.names()...)
 			time.Sleep(10 * time.Second)
-			if slices.ContainsFunc(f.names(), func(name string) bool { return f.ready(name)() }) {
+			if slices.ContainsFunc(f.names(), func(name string) bool { return f.allReady(name)() }) {
 				t.Error("ready without a version")
 			}
 			f.fail(healthy, f.names()...)
-			until(t, "ready", impaired, f.ready(f.names()...))
+			waitUntil(t, "ready", impairedBound, f.allReady(f.names()...))
 		},
 		"one member restarts, store down": func(t *testing.T, f *fleet) {
 			f.start(f.names()...)
 			time.Sleep(10 * time.Second)
 			f.fail(rejects, f.names()...)
-			last := f.order()[13]
+			last := f.watchOrder()[13]
 			f.kill(last)
 			f.start(last)
-			until(t, "ready", time.Second, f.ready(last))
+			waitUntil(t, "ready", time.Second, f.allReady(last))
 			// The other members count as starting too.
 			f.kill(last)
 			for _, name := range f.names() {
 				f.members[name].process.Load().ready.Store(false)
 			}
 			f.start(last)
-			until(t, "ready among others that start", 2*time.Second, f.ready(last))
+			waitUntil(t, "ready among others that start", 2*time.Second, f.allReady(last))
 		},
 		"burst": func(t *testing.T, f *fleet) {
 			f.start(f.names()...)
 			time.Sleep(10 * time.Second)
 			before := f.cost()
 			for i := range sycamorerun.Version(15) {
-				f.store.edit(20 + 7*i)
+				f.store.writeDocument(20 + 7*i)
 				time.Sleep(200 * time.Millisecond)
 			}
-			t.Log("in force", mustConverge(t, f, 118, inForce))
+			t.Log("in force", mustConverge(t, f, 118, convergeBound))
 			time.Sleep(5 * time.Second)
 			// A member may get an entry of about 100 bytes twice, no snapshot.
 			if spent := f.cost().since(before, 15); spent.sent > 14*2*150 {
@@ -237,11 +237,11 @@
 				t.Errorf("%d calls", calls)
 			}
 			f.fail(healthy, f.names()...)
-			f.store.edit(20)
-			t.Log("in force", mustConverge(t, f, 20, inForce))
+			f.store.writeDocument(20)
+			t.Log("in force", mustConverge(t, f, 20, convergeBound))
 		},
 	}
 	for name, scenario := range cases {
-		t.Run(name, func(t *testing.T) { runDocument(t, scenario) })
+		t.Run(name, func(t *testing.T) { runDocumentFleet(t, scenario) })
 	}
 }
--- a/node/distributor/document_test.go
+++ b/node/distributor/document_test.go
@@ -17,9 +17,9 @@
 )
 
 // edit writes a version of the document, in which one of 300 services changes.
-func (s *fakeStore) edit(version sycamorerun.Version) (tree sycamorerun.Tree) {
+func (s *fakeStore) writeDocument(version sycamorerun.Version) (tree sycamorerun.Tree) {
 	put := map[sycamorerun.Path]sycamorerun.Item{"quoting/service/desk": sycamorerun.Item(fmt.Sprintf(`{"slots":%d}`, version))}
-	s.set(func() {
+	s.update(func() {
 		for i := 0; s.tree.Version == 0 && i < 300; i++ {
 			put[sycamorerun.NewPath("quoting", sycamorerun.KindService, fmt.Sprintf("s-%d", i))] = sycamorerun.Item(fmt.Sprintf(`{"slots":%d}`, i*7919%1000+1))
 		}
@@ -34,10 +34,10 @@
 // TestChain guards against a node that goes back, that puts a version in force
 // in part, or that makes the nodes below it pull a snapshot, when watchers
 // build on different versions.
-func TestChain(t *testing.T) {
+func TestEntryChain(t *testing.T) {
 	s, trees := newStore(), map[sycamorerun.Version]sycamorerun.Tree{}
 	for _, version := range []sycamorerun.Version{3, 7, 12, 20} {
-		trees[version] = s.edit(version)
+		trees[version] = s.writeDocument(version)
 	}
 	entry := func(base, version sycamorerun.Version) sycamorerun.Entry {
 		difference := differ.Compare(trees[base].Items, trees[version].Items)
@@ -64,13 +64,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d, a := solo()
-			follower, b := solo()
+			d, a := newIsolatedNode()
+			follower, b := newIsolatedNode()
 			d.Document, follower.Document = &Document{}, &Document{}
 			for _, version := range c.held {
-				is.NoErr(d.take(start, trees[version]))
+				is.NoErr(d.acceptDocument(start, trees[version]))
 			}
-			is.NoErr(d.take(start, trees[3])) // a stale answer of the store
+			is.NoErr(d.acceptDocument(start, trees[3])) // a stale answer of the store
 			failed := false
 			for _, e := range c.entries {
 				data, _ := persister.EncodeEntry(e)
@@ -83,10 +83,10 @@
 			}
 			is.Equal(differ.Hash(a.Current().Tree.Items), s.hashes[c.want])
 			// A node at the first version gets entries that lead to the newest.
-			is.NoErr(follower.take(start, trees[c.held[0]]))
-			reply, _ := d.reply(c.held[0], false)
+			is.NoErr(follower.acceptDocument(start, trees[c.held[0]]))
+			reply, _ := d.buildReply(c.held[0], false)
 			is.True(reply.GetSnapshot() == nil)
-			is.NoErr(follower.absorb(start, "peer", reply))
+			is.NoErr(follower.acceptReply(start, "peer", reply))
 			is.Equal(b.Current().Tree.Version, c.want)
 		})
 	}
@@ -127,7 +127,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d, a := solo()
+				d, a := newIsolatedNode()
 				calls, distance := 0, 0
 				next := func(ctx context.Context, list *answers) (answer, bool) {
 					calls++
@@ -160,7 +160,7 @@
 				d.Plan = func() planner.Plan { return planner.Plan{Watch: planner.Primary} }
 				go func() { _ = d.Run(t.Context()) }()
 				go func() { _ = d.Bootstrap(t.Context()) }()
-				time.Sleep(documentPatience + documentPatience/2 + documentRound + c.within)
+				time.Sleep(documentPeerWait + documentPeerWait/2 + documentRoundPause + c.within)
 				synctest.Wait()
 				if held := a.Current().Tree.Version; held != c.want || calls > c.calls || distance != c.distance {
 					t.Errorf("version %s, %d calls, distance %d", held, calls, distance)
--- a/node/distributor/fallback.go
+++ b/node/distributor/fallback.go
@@ -16,7 +16,7 @@
 	// first tree after which a node looks for other sources. Waiting until the
 	// parent counts as failed takes about 9 s, more than a change may take to
 	// be in force.
-	parentSilence = 2500 * time.Millisecond
+	parentSilenceTimeout = 2500 * time.Millisecond
 	// fallbackPeers is how many random peers are asked in each period, so that
 	// an answer comes in time although some of them are silent as well.
 	fallbackPeers = 3
@@ -24,14 +24,14 @@
 
 // parent is the node's parent in the first tree and when it was last heard.
 type parent struct {
-	name  string
-	heard time.Time
+	name          string
+	lastHeartbeat time.Time
 	// periods counts the periods of its silence.
-	periods uint
+	silentPeriods uint
 }
 
 // follow notes the parent of the plan in force. A new one starts as heard.
-func (p *parent) follow(now time.Time, links []planner.Link) {
+func (p *parent) update(now time.Time, links []planner.Link) {
 	name := ""
 	for _, link := range links {
 		if link.Tree == 0 && link.Role == planner.RoleParent {
@@ -39,34 +39,34 @@
 		}
 	}
 	if name != p.name {
-		*p = parent{name: name, heard: now}
+		*p = parent{name: name, lastHeartbeat: now}
 	}
 }
 
-func (p *parent) hear(now time.Time, peer string) {
+func (p *parent) observeHeartbeat(now time.Time, peer string) {
 	if peer == p.name {
-		p.heard, p.periods = now, 0
+		p.lastHeartbeat, p.silentPeriods = now, 0
 	}
 }
 
 // fallback says what to do at now: ask random peers, and read the store. The
 // store is read in the periods 1, 2, 4, 8 and so on of a silence, which bounds
 // its load when many nodes lose their parents at once.
-func (p *parent) fallback(now time.Time) (peers, store bool) {
-	if p.name == "" || now.Sub(p.heard) < parentSilence {
+func (p *parent) fallbackSources(now time.Time) (peers, store bool) {
+	if p.name == "" || now.Sub(p.lastHeartbeat) < parentSilenceTimeout {
 		return false, false
 	}
-	p.periods++
-	return true, bits.OnesCount(p.periods) == 1
+	p.silentPeriods++
+	return true, bits.OnesCount(p.silentPeriods) == 1
 }
 
 // fallbackStore reads the store for news. The document's watchers follow it
 // anyway, and their deputies know whether one of them works.
-func (d *Distributor) fallbackStore(ctx context.Context) error {
+func (d *Distributor) fallBackToStore(ctx context.Context) error {
 	plan := d.Plan()
 	switch {
 	case d.Document == nil:
-		return d.checkStore(ctx)
+		return d.catchUpFromStore(ctx)
 	case d.watchRole(plan) != planner.None || slices.Contains(plan.Deputies, d.Self):
 		return nil
 	}
@@ -76,22 +76,22 @@
 // fallback looks for new versions elsewhere while the parent is silent. Each
 // part of the fleet that is cut off from the watchers has a topmost node whose
 // parent is silent, and that node brings the version to those below it.
-func (d *Distributor) fallback(ctx context.Context) {
+func (d *Distributor) runFallback(ctx context.Context) {
 	for sleep(ctx, gossipPeriod) {
 		links := d.Plan().Links
 		now := time.Now()
 		d.mutex.Lock()
-		d.parent.follow(now, links)
-		peers, store := d.parent.fallback(now)
+		d.parent.update(now, links)
+		peers, store := d.parent.fallbackSources(now)
 		d.mutex.Unlock()
 		if peers {
-			d.askRandom(ctx, fallbackPeers)
+			d.pullFromRandomPeers(ctx, fallbackPeers)
 		}
 		if !store {
 			continue
 		}
 		go func() {
-			if err := d.fallbackStore(ctx); err != nil && ctx.Err() == nil {
+			if err := d.fallBackToStore(ctx); err != nil && ctx.Err() == nil {
 				level.Debug(d.Logger).Log("msg", "store not read while the parent is silent", "err", err)
 			}
 		}()
--- a/node/distributor/fallback_test.go
+++ b/node/distributor/fallback_test.go
@@ -20,10 +20,10 @@
 		{Name: "up", Tree: 0, Role: planner.RoleParent},
 	}
 	cases := map[string]struct {
-		links  []planner.Link
-		heard  string
-		asks   int
-		stores int
+		links         []planner.Link
+		heartbeatFrom string
+		asks          int
+		stores        int
 	}{
 		"silent parent":      {links, "", 8, 4},
 		"parent heard":       {links, "up", 0, 0},
@@ -37,9 +37,9 @@
 			asks, stores := 0, 0
 			for second := range 11 {
 				now := start.Add(time.Duration(second) * time.Second)
-				p.follow(now, c.links)
-				p.hear(now, c.heard)
-				peers, store := p.fallback(now)
+				p.update(now, c.links)
+				p.observeHeartbeat(now, c.heartbeatFrom)
+				peers, store := p.fallbackSources(now)
 				if peers {
 					asks++
 				}
@@ -54,13 +54,13 @@
 }
 
 // Guards against a new parent that counts as silent before it could speak.
-func TestNewParentStartsAsHeard(t *testing.T) {
+func TestNewParentIsNotSilent(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	p := parent{name: "old", heard: start.Add(-time.Hour), periods: 7}
-	p.follow(start, []planner.Link{{Name: "new", Tree: 0, Role: planner.RoleParent}})
-	peers, store := p.fallback(start.Add(time.Second))
+	p := parent{name: "old", lastHeartbeat: start.Add(-time.Hour), silentPeriods: 7}
+	p.update(start, []planner.Link{{Name: "new", Tree: 0, Role: planner.RoleParent}})
+	peers, store := p.fallbackSources(start.Add(time.Second))
 	is.Equal(peers, false)
 	is.Equal(store, false)
-	is.Equal(p.periods, uint(0))
+	is.Equal(p.silentPeriods, uint(0))
 }
--- a/node/distributor/fleet_scenarios_test.go
+++ b/node/distributor/fleet_scenarios_test.go
@@ -15,11 +15,11 @@
 )
 
 // bound is the time within which a change is due everywhere.
-const bound = 7 * time.Second
+const dueBound = 7 * time.Second
 
 // undetected is the time for the delays of standby and pulls, long before a
 // failure is detected and the plan changes.
-const undetected = 2500 * time.Millisecond
+const undetectedBound = 2500 * time.Millisecond
 
 // TestScenarios guards against a fault that keeps an accepted version from a
 // node, or that lets a node go back, be ready too early or cost a call or
@@ -32,7 +32,7 @@
 		"watchers dead": {60, func(t *testing.T, f *fleet) {
 			killed := 0
 			for _, region := range []string{"region-0", "region-1", "region-2"} {
-				if name := f.watcher(region, planner.Primary); f.spare(name) {
+				if name := f.watcher(region, planner.Primary); f.childrenCovered(name) {
 					f.kill(name)
 					killed++
 				}
@@ -41,11 +41,11 @@
 				t.Fatal("each watcher is the only parent of a member")
 			}
 			f.store.commit(1)
-			mustConverge(t, f, 4, undetected)
+			mustConverge(t, f, 4, undetectedBound)
 		}},
 		"only peer dead": {24, func(t *testing.T, f *fleet) {
 			for _, name := range f.names() {
-				if linked := peers(f.members[name].plan.Load().Links); len(linked) == 1 {
+				if linked := linkedPeers(f.members[name].plan.Load().Links); len(linked) == 1 {
 					for only := range linked {
 						f.kill(only)
 					}
@@ -62,26 +62,26 @@
 			f.kill(primary)
 			f.kill(standby)
 			f.store.commit(1)
-			mustConverge(t, f, 4, bound)
+			mustConverge(t, f, 4, dueBound)
 			f.start(primary, standby)
-			mustConverge(t, f, 4, bound)
+			mustConverge(t, f, 4, dueBound)
 		}},
 		"watcher paused": {24, func(t *testing.T, f *fleet) {
 			paused := f.members[f.watcher("region-1", planner.Primary)]
-			f.set(func() { paused.mute, paused.cut = true, true })
+			f.update(func() { paused.stalled, paused.isolated = true, true })
 			f.store.commit(2)
-			mustConverge(t, f, 5, bound)
+			mustConverge(t, f, 5, dueBound)
 			time.Sleep(time.Minute)
-			f.set(func() { paused.mute, paused.cut = false, false })
+			f.update(func() { paused.stalled, paused.isolated = false, false })
 			mustConverge(t, f, 5, 15*time.Second)
 		}},
 		"interior node dead": {120, func(t *testing.T, f *fleet) {
 			for _, name := range f.names() {
 				plan := f.members[name].plan.Load()
-				if plan.Watch == planner.None && !plan.Seed && len(children(plan.Links)) > 0 && f.spare(name) {
+				if plan.Watch == planner.None && !plan.Seed && len(children(plan.Links)) > 0 && f.childrenCovered(name) {
 					f.kill(name)
 					f.store.commit(1)
-					mustConverge(t, f, 4, undetected)
+					mustConverge(t, f, 4, undetectedBound)
 					return
 				}
 			}
@@ -94,41 +94,41 @@
 					stalled = f.members[name]
 				}
 			}
-			f.set(func() { stalled.mute = true })
+			f.update(func() { stalled.stalled = true })
 			for version := range sycamorerun.Version(50) {
 				f.store.commit(1)
-				if took := mustConverge(t, f, 4+version, bound); took > 100*time.Millisecond {
+				if took := mustConverge(t, f, 4+version, dueBound); took > 100*time.Millisecond {
 					t.Errorf("took %s", took)
 				}
 			}
-			f.set(func() { stalled.mute = false })
-			mustConverge(t, f, 53, bound)
+			f.update(func() { stalled.stalled = false })
+			mustConverge(t, f, 53, dueBound)
 		}},
 		"store outage, then old answers": {24, func(t *testing.T, f *fleet) {
 			f.store.commit(5)
-			mustConverge(t, f, 8, bound)
-			f.store.set(func() { f.store.down = true })
+			mustConverge(t, f, 8, dueBound)
+			f.store.update(func() { f.store.down = true })
 			time.Sleep(time.Minute)
-			f.store.set(func() { f.store.down, f.store.stale = false, f.store.revision-4 })
+			f.store.update(func() { f.store.down, f.store.staleAfter = false, f.store.revision-4 })
 			restarted := f.names()[5]
 			f.kill(restarted)
 			f.start(restarted)
 			f.store.commit(2)
 			time.Sleep(time.Minute)
 			mustConverge(t, f, 8, 0)
-			f.store.set(func() { f.store.stale = 0 })
+			f.store.update(func() { f.store.staleAfter = 0 })
 			mustConverge(t, f, 10, 12*time.Second)
 		}},
 		"watch history compacted": {24, func(t *testing.T, f *fleet) {
-			f.store.set(func() { f.store.down = true })
+			f.store.update(func() { f.store.down = true })
 			time.Sleep(20 * time.Second)
 			f.store.commit(40)
-			f.store.set(func() { f.store.down, f.store.compacted = false, f.store.revision })
+			f.store.update(func() { f.store.down, f.store.compacted = false, f.store.revision })
 			mustConverge(t, f, 43, 12*time.Second)
 			// Writes under other keys move the history beyond the whole log.
-			f.store.set(func() { f.store.down = true })
+			f.store.update(func() { f.store.down = true })
 			time.Sleep(time.Minute)
-			f.store.set(func() {
+			f.store.update(func() {
 				f.store.write("node/seed", nil)
 				f.store.down, f.store.compacted = false, f.store.revision
 			})
@@ -149,7 +149,7 @@
 			cut := func(cut bool) {
 				for _, m := range f.members {
 					if m.AvailabilityZone == "zone-3" {
-						f.set(func() { m.cut = cut })
+						f.update(func() { m.isolated = cut })
 					}
 				}
 			}
@@ -175,7 +175,7 @@
 					f.kill(name)
 					time.Sleep(phase)
 					f.start(name)
-					mustConverge(t, f, version, bound)
+					mustConverge(t, f, version, dueBound)
 				}
 			}
 		}},
@@ -201,7 +201,7 @@
 		}},
 		"damaged store answers": {24, func(t *testing.T, f *fleet) {
 			reads := 0
-			f.store.set(func() {
+			f.store.update(func() {
 				f.store.damage = func(value []byte) []byte {
 					if reads++; reads%3 != 0 {
 						value = append([]byte{}, value[:len(value)-reads%2]...)
@@ -212,7 +212,7 @@
 			})
 			f.store.commit(3)
 			time.Sleep(5 * time.Second)
-			f.store.set(func() { f.store.damage = nil })
+			f.store.update(func() { f.store.damage = nil })
 			mustConverge(t, f, 6, 12*time.Second)
 		}},
 		"survey": {60, func(t *testing.T, f *fleet) {
@@ -223,17 +223,17 @@
 				}
 			}
 			asked := f.members[leaves[2]].process.Load()
-			f.set(func() { f.members[leaves[0]].mute = true })
+			f.update(func() { f.members[leaves[0]].stalled = true })
 			f.kill(leaves[1])
 			f.store.commit(1)
-			mustConverge(t, f, 4, bound)
+			mustConverge(t, f, 4, dueBound)
 			answer, err := asked.Survey(context.Background())
 			if err != nil || answer.Target != 4 || answer.Counts[4] != 58 || !slices.Equal(answer.Unreachable, leaves[:2]) {
 				t.Errorf("%+v %v", answer, err)
 			}
-			f.set(func() { f.members[leaves[0]].mute = false })
+			f.update(func() { f.members[leaves[0]].stalled = false })
 			f.start(leaves[1])
-			mustConverge(t, f, 4, bound)
+			mustConverge(t, f, 4, dueBound)
 			answer, err = asked.Survey(context.Background())
 			if err != nil || answer.Counts[4] != 60 || len(answer.Lagging)+len(answer.Unreachable) != 0 {
 				t.Errorf("%+v %v", answer, err)
@@ -241,7 +241,7 @@
 		}},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { run(t, Tree, c.size, c.run) })
+		t.Run(name, func(t *testing.T) { runFleet(t, Tree, c.size, c.run) })
 	}
 }
 
@@ -251,26 +251,26 @@
 	const changes = 20
 	// In gossip, a node that no Have reaches waits for a periodic request.
 	cases := map[Mode]struct {
-		most cost
-		took time.Duration
+		limit       cost
+		maxDuration time.Duration
 	}{
 		Tree:   {cost{calls: 6, answered: 6 * 150, sent: 13 * 200, crossed: 2*160 + 12*12}, 50 * time.Millisecond},
 		Poll:   {cost{calls: 14, answered: 14 * 150, crossed: 8 * 150}, 50 * time.Millisecond},
-		Gossip: {cost{calls: 6, answered: 6 * 150, sent: 14 * 400, crossed: 14 * 400}, bound},
+		Gossip: {cost{calls: 6, answered: 6 * 150, sent: 14 * 400, crossed: 14 * 400}, dueBound},
 	}
 	for mode, c := range cases {
 		t.Run(string(mode), func(t *testing.T) {
-			run(t, mode, 14, func(t *testing.T, f *fleet) {
+			runFleet(t, mode, 14, func(t *testing.T, f *fleet) {
 				before, worst := f.cost(), time.Duration(0)
 				for version := range sycamorerun.Version(changes) {
 					f.store.commit(1)
-					worst = max(worst, mustConverge(t, f, 4+version, bound))
+					worst = max(worst, mustConverge(t, f, 4+version, dueBound))
 					time.Sleep(time.Second)
 				}
 				spent := f.cost().since(before, changes)
 				t.Logf("per change, 14 nodes: %+v, longest %s", spent, worst)
-				if spent.calls > c.most.calls || spent.answered > c.most.answered || spent.sent > c.most.sent || spent.crossed > c.most.crossed || worst > c.took {
-					t.Errorf("more than %+v, %s", c.most, c.took)
+				if spent.calls > c.limit.calls || spent.answered > c.limit.answered || spent.sent > c.limit.sent || spent.crossed > c.limit.crossed || worst > c.maxDuration {
+					t.Errorf("more than %+v, %s", c.limit, c.maxDuration)
 				}
 			})
 		})
@@ -280,20 +280,20 @@
 // TestNoise guards the invariants against lost, doubled, reordered, truncated
 // and damaged frames at random: no node goes back or puts in force what was
 // not accepted, and the fleet converges once the noise ends.
-func TestNoise(t *testing.T) {
+func TestFrameFaults(t *testing.T) {
 	for seed := range uint64(6) {
-		run(t, []Mode{Tree, Tree, Gossip}[seed%3], 18, func(t *testing.T, f *fleet) {
+		runFleet(t, []Mode{Tree, Tree, Gossip}[seed%3], 18, func(t *testing.T, f *fleet) {
 			var mutex sync.Mutex
-			var late []byte
+			var delayed []byte
 			random := rand.New(rand.NewPCG(seed, 1))
-			noise := func(write func([]byte) error, data []byte) error {
+			injectFault := func(write func([]byte) error, data []byte) error {
 				mutex.Lock()
 				kind, at := random.IntN(12), random.IntN(len(data))
-				held := late
+				previous := delayed
 				if kind == 3 {
-					late = data
+					delayed = data
 				} else {
-					late = nil
+					delayed = nil
 				}
 				mutex.Unlock()
 				switch kind {
@@ -309,12 +309,12 @@
 					data[at] ^= 1 << (at % 8)
 				}
 				err := write(data)
-				if held != nil {
-					_ = write(held)
+				if previous != nil {
+					_ = write(previous)
 				}
 				return err
 			}
-			f.set(func() { f.noise = noise })
+			f.update(func() { f.injectFault = injectFault })
 			version := sycamorerun.Version(3)
 			for range 15 {
 				mutex.Lock()
@@ -330,7 +330,7 @@
 					f.start(victim)
 				}
 			}
-			f.set(func() { f.noise = nil })
+			f.update(func() { f.injectFault = nil })
 			mustConverge(t, f, version, 30*time.Second)
 		})
 	}
--- a/node/distributor/fleet_test.go
+++ b/node/distributor/fleet_test.go
@@ -47,7 +47,7 @@
 	down      bool
 	compacted persister.Revision
 	// stale hides the writes above a revision; zero shows all.
-	stale persister.Revision
+	staleAfter persister.Revision
 	// damage changes what is read.
 	damage func([]byte) []byte
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-func (s *fakeStore) set(change func()) {
+func (s *fakeStore) update(change func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change()
@@ -73,7 +73,7 @@
 }
 
 // next makes the next version: one service's slots change.
-func (s *fakeStore) next() sycamorerun.Entry {
+func (s *fakeStore) nextEntry() sycamorerun.Entry {
 	version := s.tree.Version + 1
 	path := sycamorerun.NewPath("quoting", sycamorerun.KindService, fmt.Sprintf("desk-%d", version%7))
 	difference := sycamorerun.Difference{Put: map[sycamorerun.Path]sycamorerun.Item{
@@ -86,9 +86,9 @@
 
 // commit accepts n versions.
 func (s *fakeStore) commit(n int) {
-	s.set(func() {
+	s.update(func() {
 		for range n {
-			entry := s.next()
+			entry := s.nextEntry()
 			data, _ := persister.EncodeEntry(entry)
 			s.write(persister.LogKey(entry.Version), data)
 			if entry.Version%256 == 0 {
@@ -117,10 +117,10 @@
 }
 
 // newest returns the last version that a node can learn of from the store.
-func (s *fakeStore) newest() sycamorerun.Version {
+func (s *fakeStore) newestVisible() sycamorerun.Version {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.down || s.stale > 0 {
+	if s.down || s.staleAfter > 0 {
 		return 0
 	}
 	return s.tree.Version
@@ -128,10 +128,10 @@
 
 // visible returns the objects under prefix between two revisions, as the
 // store's present state or, for a watch, as its history.
-func (s *fakeStore) visible(prefix string, after persister.Revision, watch, keysOnly bool, distance time.Duration) persister.Listing {
+func (s *fakeStore) listing(prefix string, after persister.Revision, watch, keysOnly bool, distance time.Duration) persister.Listing {
 	limit := s.revision
-	if s.stale > 0 {
-		limit = s.stale
+	if s.staleAfter > 0 {
+		limit = s.staleAfter
 	}
 	latest := map[string]persister.Object{}
 	listing := persister.Listing{Revision: limit}
@@ -163,8 +163,8 @@
 }
 
 // store returns the calls as seen from a node that is delay away.
-func (s *fakeStore) store(delay time.Duration, reachable func() bool) persister.Store {
-	look := func() (func(), error) {
+func (s *fakeStore) client(delay time.Duration, reachable func() bool) persister.Store {
+	lock := func() (func(), error) {
 		time.Sleep(delay)
 		s.mutex.Lock()
 		if s.down || !reachable() {
@@ -177,7 +177,7 @@
 		s.mutex.Lock()
 		s.cost.calls++
 		s.mutex.Unlock()
-		return look()
+		return lock()
 	}
 	return persister.Store{
 		Get: func(_ context.Context, key string) (persister.Object, error) {
@@ -186,7 +186,7 @@
 				return persister.Object{}, err
 			}
 			defer unlock()
-			listing := s.visible(key, 0, false, false, delay)
+			listing := s.listing(key, 0, false, false, delay)
 			if len(listing.Objects) == 0 {
 				return persister.Object{}, persister.ErrMissing
 			}
@@ -198,13 +198,13 @@
 				return persister.Listing{}, err
 			}
 			defer unlock()
-			return s.visible(prefix, after, false, false, delay), nil
+			return s.listing(prefix, after, false, false, delay), nil
 		},
 		Watch: func(ctx context.Context, prefix string, after persister.Revision, keysOnly bool) (persister.Listing, error) {
 			unlock, err := call()
-			for ; err == nil; unlock, err = look() {
+			for ; err == nil; unlock, err = lock() {
 				changed, compacted := s.changed, after < s.compacted
-				listing := s.visible(prefix, after, true, keysOnly, delay)
+				listing := s.listing(prefix, after, true, keysOnly, delay)
 				unlock()
 				if compacted {
 					return persister.Listing{}, persister.ErrCompacted
@@ -230,11 +230,11 @@
 	plan    atomic.Pointer[planner.Plan]
 	up      bool
 	// mute makes the member read nothing from its streams.
-	mute bool
+	stalled bool
 	// cut separates the member from the store and from peers of other zones.
-	cut bool
+	isolated bool
 	// lost counts the heartbeats since it was last up, not mute and not cut.
-	lost int
+	missedHeartbeats int
 	// fault is how the member or its document's store fails.
 	fault fault
 }
@@ -257,14 +257,14 @@
 	store   *fakeStore
 	mutex   sync.Mutex
 	// noise disturbs what is written, when it is set.
-	noise func(write func([]byte) error, data []byte) error
-	ctx   context.Context
-	stop  context.CancelFunc
-	t     *testing.T
+	injectFault func(write func([]byte) error, data []byte) error
+	ctx         context.Context
+	stop        context.CancelFunc
+	t           *testing.T
 	// document makes the members follow a document; options are their plans'.
-	document func(m *member, delay time.Duration) *Document
-	options  planner.Options
-	planning sync.Mutex
+	newMemberDocument func(m *member, delay time.Duration) *Document
+	options           planner.Options
+	planning          sync.Mutex
 }
 
 const localDelay, regionDelay = time.Millisecond, 20 * time.Millisecond
@@ -294,7 +294,7 @@
 
 // detection is the number of heartbeats after which a lost member counts as
 // failed: 3 missed, then 3 s of suspicion.
-const detection = 6
+const failedHeartbeats = 6
 
 // plan computes the members' plans from those that do not count as failed.
 func (f *fleet) plan() {
@@ -302,8 +302,8 @@
 	defer f.planning.Unlock()
 	var live []sycamorerun.Instance
 	for _, name := range f.names() {
-		f.set(func() {
-			if m := f.members[name]; m.lost < detection {
+		f.update(func() {
+			if m := f.members[name]; m.missedHeartbeats < failedHeartbeats {
 				live = append(live, m.Instance)
 			}
 		})
@@ -322,12 +322,12 @@
 }
 
 // detect counts the heartbeats that the lost members miss.
-func (f *fleet) detect() {
-	f.set(func() {
+func (f *fleet) countHeartbeats() {
+	f.update(func() {
 		for _, m := range f.members {
-			m.lost++
-			if m.up && !m.mute && !m.cut {
-				m.lost = 0
+			m.missedHeartbeats++
+			if m.up && !m.stalled && !m.isolated {
+				m.missedHeartbeats = 0
 			}
 		}
 	})
@@ -337,7 +337,7 @@
 func (f *fleet) start(names ...string) {
 	for _, name := range names {
 		m := f.members[name]
-		f.set(func() { m.up, m.lost = true, 0 })
+		f.update(func() { m.up, m.missedHeartbeats = true, 0 })
 	}
 	f.plan()
 	for i, name := range names {
@@ -345,7 +345,7 @@
 		a, d := &applier.Applier{}, New()
 		last := sycamorerun.Version(0)
 		a.Changed = func(state applier.State) {
-			if state.Tree.Version <= last || state.Hash != f.hash(state.Tree.Version) || differ.Hash(state.Tree.Items) != state.Hash {
+			if state.Tree.Version <= last || state.Hash != f.acceptedHash(state.Tree.Version) || differ.Hash(state.Tree.Items) != state.Hash {
 				f.t.Errorf("%s: version %s after %s is older or not the accepted one", name, state.Tree.Version, last)
 			}
 			last = state.Tree.Version
@@ -354,13 +354,13 @@
 		if m.Region != "region-0" {
 			delay = regionDelay
 		}
-		if f.document != nil {
-			d.Document = f.document(m, delay)
-			d.PublishDistance = func(_ time.Time, distance int) { go f.measured(m, distance) }
+		if f.newMemberDocument != nil {
+			d.Document = f.newMemberDocument(m, delay)
+			d.PublishDistance = func(_ time.Time, distance int) { go f.publishDistance(m, distance) }
 		}
 		random := uint64(i + 1)
 		d.Self, d.Mode = name, f.mode
-		d.Store = f.store.store(delay, func() bool { return f.is(func() bool { return !m.cut }) })
+		d.Store = f.store.client(delay, func() bool { return f.check(func() bool { return !m.isolated }) })
 		d.Current = func() (sycamorerun.Tree, sycamorerun.Hash) { return a.Current().Tree, a.Current().Hash }
 		d.Apply, d.Install = a.Apply, a.Install
 		d.Plan = func() planner.Plan { return *m.plan.Load() }
@@ -376,7 +376,7 @@
 		ctx, stop := context.WithCancel(f.ctx)
 		m.process.Store(&process{d, a, stop})
 		go func() { _ = d.Run(ctx) }()
-		newest := f.store.newest()
+		newest := f.store.newestVisible()
 		go func() {
 			if d.Bootstrap(ctx) == nil && a.Current().Tree.Version < newest {
 				f.t.Errorf("%s: ready with version %s before %s", name, a.Current().Tree.Version, newest)
@@ -386,27 +386,27 @@
 }
 
 // measured spreads a member's distance.
-func (f *fleet) measured(m *member, distance int) {
+func (f *fleet) publishDistance(m *member, distance int) {
 	time.Sleep(200 * time.Millisecond)
-	f.set(func() { m.Distance = distance })
+	f.update(func() { m.Distance = distance })
 	f.plan()
 }
 
 func (f *fleet) kill(name string) {
 	m := f.members[name]
-	f.set(func() { m.up = false })
+	f.update(func() { m.up = false })
 	m.process.Load().stop()
 }
 
-func (f *fleet) is(read func() bool) bool {
+func (f *fleet) check(read func() bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return read()
 }
 
-func (f *fleet) set(change func()) { f.is(func() bool { change(); return true }) }
+func (f *fleet) update(change func()) { f.check(func() bool { change(); return true }) }
 
-func (f *fleet) hash(version sycamorerun.Version) sycamorerun.Hash {
+func (f *fleet) acceptedHash(version sycamorerun.Version) sycamorerun.Hash {
 	f.store.mutex.Lock()
 	defer f.store.mutex.Unlock()
 	return f.store.hashes[version]
@@ -414,13 +414,13 @@
 
 // cost returns the cost so far.
 func (f *fleet) cost() (c cost) {
-	f.store.set(func() { c = f.store.cost })
+	f.store.update(func() { c = f.store.cost })
 	return c
 }
 
 func (f *fleet) reachable(from, to *member) bool {
-	return f.is(func() bool {
-		return from.up && to.up && (!from.cut && !to.cut || from.AvailabilityZone == to.AvailabilityZone)
+	return f.check(func() bool {
+		return from.up && to.up && (!from.isolated && !to.isolated || from.AvailabilityZone == to.AvailabilityZone)
 	})
 }
 
@@ -453,17 +453,17 @@
 		_ = c.Close()
 		return 0, errors.New("connection reset")
 	}
-	c.fleet.store.set(func() { c.fleet.store.cost.add(&c.fleet.store.cost.sent, len(data), c.delay) })
-	var noise func(func([]byte) error, []byte) error
-	c.fleet.set(func() { noise = c.fleet.noise })
-	if noise == nil {
+	c.fleet.store.update(func() { c.fleet.store.cost.add(&c.fleet.store.cost.sent, len(data), c.delay) })
+	var injectFault func(func([]byte) error, []byte) error
+	c.fleet.update(func() { injectFault = c.fleet.injectFault })
+	if injectFault == nil {
 		return c.Conn.Write(data)
 	}
-	return len(data), noise(func(data []byte) error { _, err := c.Conn.Write(data); return err }, data)
+	return len(data), injectFault(func(data []byte) error { _, err := c.Conn.Write(data); return err }, data)
 }
 
 func (c *slowConn) Read(data []byte) (int, error) {
-	for c.fleet.is(func() bool { return c.from.mute }) {
+	for c.fleet.check(func() bool { return c.from.stalled }) {
 		time.Sleep(100 * time.Millisecond)
 	}
 	return c.Conn.Read(data)
@@ -472,13 +472,13 @@
 // heartbeats carry the versions over the links each second.
 func (f *fleet) heartbeats() {
 	for sleep(f.ctx, time.Second) {
-		f.detect()
+		f.countHeartbeats()
 		for _, name := range f.names() {
 			from := f.members[name]
 			if from.process.Load() == nil {
 				continue
 			}
-			for peer := range peers(from.process.Load().Plan().Links) {
+			for peer := range linkedPeers(from.process.Load().Plan().Links) {
 				if to := f.members[peer]; f.reachable(from, to) {
 					to.process.Load().ObserveHeartbeat(name, from.version())
 				}
@@ -495,7 +495,7 @@
 		var behind []string
 		for _, name := range f.names() {
 			m := f.members[name]
-			if f.is(func() bool { return m.up && !m.mute && !m.cut }) && m.version() < version {
+			if f.check(func() bool { return m.up && !m.stalled && !m.isolated }) && m.version() < version {
 				behind = append(behind, fmt.Sprintf("%s at %s", name, m.version()))
 			}
 		}
@@ -512,7 +512,7 @@
 
 // spare reports whether each child of the member has another parent, so that
 // the second tree covers its failure.
-func (f *fleet) spare(name string) bool {
+func (f *fleet) childrenCovered(name string) bool {
 	for _, m := range f.members {
 		others, child := 0, false
 		for _, link := range m.plan.Load().Links {
@@ -539,7 +539,7 @@
 }
 
 // run runs a scenario on a settled fleet in a bubble with its own time.
-func run(t *testing.T, mode Mode, size int, scenario func(t *testing.T, f *fleet)) {
+func runFleet(t *testing.T, mode Mode, size int, scenario func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, mode, size)
 		defer func() {
--- a/node/distributor/gossip.go
+++ b/node/distributor/gossip.go
@@ -13,24 +13,24 @@
 	// gossipPeriod is the time between two anti-entropy requests.
 	gossipPeriod = time.Second
 	// maxCasts bounds the messages to random peers that are being sent.
-	maxCasts = 16
+	maxGossipSends = 16
 )
 
 // spread tells random live peers about a new version.
-func (d *Distributor) spread(version sycamorerun.Version, source string) {
+func (d *Distributor) gossipVersion(version sycamorerun.Version, source string) {
 	d.mutex.Lock()
-	ctx := d.running
+	ctx := d.runContext
 	d.mutex.Unlock()
 	if ctx == nil {
 		return
 	}
-	message := frame(have(version, true))
-	for _, peer := range choose(d.Peers(), gossipPeers, source, d.Random) {
+	message := encodeFrame(newHave(version, true))
+	for _, peer := range samplePeers(d.Peers(), gossipPeers, source, d.Random) {
 		select {
-		case d.casting <- struct{}{}:
+		case d.gossipSlots <- struct{}{}:
 			go func() {
-				defer func() { <-d.casting }()
-				d.cast(ctx, peer, message)
+				defer func() { <-d.gossipSlots }()
+				d.sendGossip(ctx, peer, message)
 			}()
 		default:
 			d.count("distributor_casts_dropped", 1)
@@ -38,7 +38,7 @@
 	}
 }
 
-func (d *Distributor) cast(ctx context.Context, peer string, message []byte) {
+func (d *Distributor) sendGossip(ctx context.Context, peer string, message []byte) {
 	stream, err := d.open(ctx, peer, sendTimeout)
 	if err != nil {
 		return
@@ -51,39 +51,39 @@
 }
 
 // ask pulls from a random live peer in each period.
-func (d *Distributor) ask(ctx context.Context) {
+func (d *Distributor) runAntiEntropy(ctx context.Context) {
 	for sleep(ctx, gossipPeriod) {
-		d.askRandom(ctx, 1)
+		d.pullFromRandomPeers(ctx, 1)
 	}
 }
 
 // askRandom pulls from n random live peers.
-func (d *Distributor) askRandom(ctx context.Context, n int) {
-	for _, peer := range choose(d.Peers(), n, "", d.Random) {
+func (d *Distributor) pullFromRandomPeers(ctx context.Context, n int) {
+	for _, peer := range samplePeers(d.Peers(), n, "", d.Random) {
 		d.mutex.Lock()
-		busy := !d.wants.peer(peer).pulling.IsZero()
-		if !busy {
-			d.wants.began(time.Now(), peer)
+		inFlight := !d.pulls.peer(peer).pullStarted.IsZero()
+		if !inFlight {
+			d.pulls.startPull(time.Now(), peer)
 		}
 		d.mutex.Unlock()
-		if !busy {
+		if !inFlight {
 			go d.pullFrom(ctx, peer)
 		}
 	}
 }
 
 // choose returns n distinct random names without the excluded one.
-func choose(names []string, n int, excluded string, random func() float64) []string {
-	pool := make([]string, 0, len(names))
+func samplePeers(names []string, n int, excluded string, random func() float64) []string {
+	candidates := make([]string, 0, len(names))
 	for _, name := range names {
 		if name != excluded {
-			pool = append(pool, name)
+			candidates = append(candidates, name)
 		}
 	}
-	n = min(n, len(pool))
+	n = min(n, len(candidates))
 	for i := range n {
-		j := i + int(random()*float64(len(pool)-i))
-		pool[i], pool[j] = pool[j], pool[i]
+		j := i + int(random()*float64(len(candidates)-i))
+		candidates[i], candidates[j] = candidates[j], candidates[i]
 	}
-	return pool[:n]
+	return candidates[:n]
 }
--- a/node/distributor/link.go
+++ b/node/distributor/link.go
@@ -16,8 +16,8 @@
 	// sendTimeout is how long a frame may wait for a peer that reads nothing.
 	sendTimeout = 3 * time.Second
 	// linkRetryLeast and linkRetryMost bound the delay before a reconnect.
-	linkRetryLeast = 100 * time.Millisecond
-	linkRetryMost  = 10 * time.Second
+	minLinkRetry = 100 * time.Millisecond
+	maxLinkRetry = 10 * time.Second
 )
 
 // link sends to one peer over a stream of its own, so that a slow peer delays
@@ -29,19 +29,19 @@
 	mutex sync.Mutex
 	queue queue
 	// down is set when the peer expects its content from this node.
-	down bool
+	child bool
 }
 
-func (l *link) offer(target target, version sycamorerun.Version, frame []byte) {
+func (l *link) enqueue(target target, version sycamorerun.Version, frame []byte) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
 	case target.push:
-		l.queue.push(version, frame)
+		l.queue.addPush(version, frame)
 	case target.direct:
-		l.queue.collapse(version)
+		l.queue.replaceWithHave(version)
 	default:
-		l.queue.announce(version)
+		l.queue.addHave(version)
 	}
 	signal(l.wake)
 }
@@ -54,21 +54,21 @@
 
 // restart replaces the queue's content by a Have, since the arrival of the
 // last frame is unknown: the peer pulls what it lacks.
-func (l *link) restart(version sycamorerun.Version) {
+func (l *link) resetQueue(version sycamorerun.Version) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.down {
-		l.queue.collapse(version)
+	if l.child {
+		l.queue.replaceWithHave(version)
 	} else {
-		l.queue.announce(version)
+		l.queue.addHave(version)
 	}
 	signal(l.wake)
 }
 
-func (l *link) setDown(down bool) {
+func (l *link) setChild(child bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.down = down
+	l.child = child
 }
 
 // run sends until ctx ends, reconnecting with full jitter.
@@ -84,8 +84,8 @@
 		}
 		failures++
 		level.Debug(d.Logger).Log("msg", "link failed; reconnecting", "peer", l.peer, "err", err)
-		l.restart(d.HeldVersion())
-		if !sleep(ctx, backoff(failures, linkRetryLeast, linkRetryMost, d.Random())) {
+		l.resetQueue(d.HeldVersion())
+		if !sleep(ctx, backoff(failures, minLinkRetry, maxLinkRetry, d.Random())) {
 			return
 		}
 	}
--- a/node/distributor/pull.go
+++ b/node/distributor/pull.go
@@ -18,14 +18,14 @@
 	pullTimeout = 10 * time.Second
 	// silence is how long a pull waits for the next bytes. Two pulls from
 	// peers that stalled must not last until the change is overdue.
-	silence = 2 * time.Second
+	idleTimeout = 2 * time.Second
 )
 
 // errNoProgress means that a peer with a newer version sent nothing usable.
 var errNoProgress = errors.New("answer without a newer version")
 
 // pulls starts the pulls that are due.
-func (d *Distributor) pulls(ctx context.Context) {
+func (d *Distributor) runPulls(ctx context.Context) {
 	for {
 		peer, wait := d.nextPull(time.Now())
 		if peer != "" {
@@ -46,14 +46,14 @@
 
 func (d *Distributor) nextPull(now time.Time) (string, time.Duration) {
 	if d.Mode == Poll {
-		return "", idle
+		return "", maxIdleWait
 	}
-	held, known := d.HeldVersion(), peers(d.Plan().Links)
+	held, linked := d.HeldVersion(), linkedPeers(d.Plan().Links)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	peer, wait := d.wants.next(now, held, func(name string) bool { return known[name] })
+	peer, wait := d.pulls.next(now, held, func(name string) bool { return linked[name] })
 	if peer != "" {
-		d.wants.began(now, peer)
+		d.pulls.startPull(now, peer)
 	}
 	return peer, wait
 }
@@ -64,7 +64,7 @@
 	before := d.HeldVersion()
 	reply, err := d.request(ctx, peer, before, false, pullTimeout)
 	if err == nil {
-		err = d.absorb(time.Now(), peer, reply)
+		err = d.acceptReply(time.Now(), peer, reply)
 	}
 	held := d.HeldVersion()
 	version := sycamorerun.Version(reply.GetVersion())
@@ -76,10 +76,10 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if err != nil {
-		d.wants.failed(time.Now(), peer, d.Random())
+		d.pulls.failPull(time.Now(), peer, d.Random())
 		level.Debug(d.Logger).Log("msg", "pull failed", "peer", peer, "err", err)
 	} else {
-		d.wants.ended(time.Now(), peer, version, min(retry, pullRetryMost))
+		d.pulls.finishPull(time.Now(), peer, version, min(retry, maxPullRetry))
 	}
 	signal(d.wakePull)
 }
@@ -88,30 +88,30 @@
 func (d *Distributor) request(ctx context.Context, peer string, after sycamorerun.Version, probe bool, timeout time.Duration) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	stream, err := d.open(ctx, peer, silence)
+	stream, err := d.open(ctx, peer, idleTimeout)
 	if err != nil {
 		return nil, errors.Wrap(err, "open")
 	}
 	defer closeWith(ctx, stream)()
-	_ = stream.SetWriteDeadline(time.Now().Add(silence))
-	n, err := encoder.Write(stream, want(after, probe))
+	_ = stream.SetWriteDeadline(time.Now().Add(idleTimeout))
+	n, err := encoder.Write(stream, newWant(after, probe))
 	if err != nil {
 		return nil, err
 	}
 	d.count("distributor_sent_bytes", n)
-	return readReply(steady{stream})
+	return readReply(idleTimeoutConn{stream})
 }
 
 // steady fails a read that waits longer than silence.
-type steady struct{ net.Conn }
+type idleTimeoutConn struct{ net.Conn }
 
-func (s steady) Read(data []byte) (int, error) {
-	_ = s.SetReadDeadline(time.Now().Add(silence))
-	return s.Conn.Read(data)
+func (c idleTimeoutConn) Read(data []byte) (int, error) {
+	_ = c.SetReadDeadline(time.Now().Add(idleTimeout))
+	return c.Conn.Read(data)
 }
 
 // absorb takes the content of an answer.
-func (d *Distributor) absorb(now time.Time, peer string, reply *Reply) error {
+func (d *Distributor) acceptReply(now time.Time, peer string, reply *Reply) error {
 	for _, packed := range reply.GetEntries() {
 		entry, err := unpackEntry(packed)
 		if err != nil {
@@ -128,12 +128,12 @@
 	if err != nil {
 		return err
 	}
-	return d.install(now, tree, hash, peer)
+	return d.installSnapshot(now, tree, hash, peer)
 }
 
 // takeObject applies a log object from the store. The slot must be that of
 // the entry, which shows a value written under a wrong key.
-func (d *Distributor) takeObject(now time.Time, object persister.Object) error {
+func (d *Distributor) acceptLogObject(now time.Time, object persister.Object) error {
 	entry, err := persister.DecodeEntry(object.Value)
 	if err != nil {
 		return errors.Wrapf(err, "decode %s", object.Key)
--- a/node/distributor/queue.go
+++ b/node/distributor/queue.go
@@ -3,24 +3,24 @@
 import "sycamorerun"
 
 const (
-	queueFrames = 32
-	queueBytes  = 1 << 20
+	maxQueuedFrames = 32
+	maxQueuedBytes  = 1 << 20
 )
 
 // queue holds what a link is about to send, bounded in frames and bytes. On
 // overflow the frames give way to one Have of the newest version, after which
 // the peer pulls at its own pace.
 type queue struct {
-	frames [][]byte
-	bytes  int
-	have   sycamorerun.Version
-	direct bool
+	frames      [][]byte
+	bytes       int
+	haveVersion sycamorerun.Version
+	haveDirect  bool
 }
 
-func (q *queue) push(version sycamorerun.Version, frame []byte) {
-	full := len(q.frames) >= queueFrames || q.bytes+len(frame) > queueBytes && len(q.frames) > 0
-	if full || q.direct {
-		q.collapse(version)
+func (q *queue) addPush(version sycamorerun.Version, frame []byte) {
+	full := len(q.frames) >= maxQueuedFrames || q.bytes+len(frame) > maxQueuedBytes && len(q.frames) > 0
+	if full || q.haveDirect {
+		q.replaceWithHave(version)
 		return
 	}
 	q.frames = append(q.frames, frame)
@@ -28,11 +28,11 @@
 }
 
 // collapse replaces the frames by a Have of version.
-func (q *queue) collapse(version sycamorerun.Version) {
-	*q = queue{have: max(q.have, version), direct: true}
+func (q *queue) replaceWithHave(version sycamorerun.Version) {
+	*q = queue{haveVersion: max(q.haveVersion, version), haveDirect: true}
 }
 
-func (q *queue) announce(version sycamorerun.Version) { q.have = max(q.have, version) }
+func (q *queue) addHave(version sycamorerun.Version) { q.haveVersion = max(q.haveVersion, version) }
 
 // next removes the oldest frame.
 func (q *queue) next() ([]byte, bool) {
@@ -43,9 +43,9 @@
 		q.bytes -= len(next)
 		return next, true
 	}
-	if q.have > 0 {
-		next := frame(have(q.have, q.direct))
-		q.have, q.direct = 0, false
+	if q.haveVersion > 0 {
+		next := encodeFrame(newHave(q.haveVersion, q.haveDirect))
+		q.haveVersion, q.haveDirect = 0, false
 		return next, true
 	}
 	return nil, false
--- a/node/distributor/serve.go
+++ b/node/distributor/serve.go
@@ -17,18 +17,18 @@
 
 const (
 	// maxServed bounds the large answers written at once.
-	maxServed = 4
+	maxLargeReplies = 4
 	// largeBytes is the size above which entries count as a large answer.
-	largeBytes = 64 << 10
+	largeReplyBytes = 64 << 10
 	// smallBytes is the size up to which entries are sent without packing a
 	// snapshot to compare with: the packing would cost more than it saves.
-	smallBytes = 4 << 10
+	smallReplyBytes = 4 << 10
 	// busyRetryLeast and busyRetryMost bound the "retry after" of a busy
 	// node; the spread keeps refused peers from returning at once.
-	busyRetryLeast = 100 * time.Millisecond
-	busyRetryMost  = 500 * time.Millisecond
+	minBusyRetry = 100 * time.Millisecond
+	maxBusyRetry = 500 * time.Millisecond
 	// answerTimeout bounds the writing of one answer.
-	answerTimeout = 10 * time.Second
+	replyTimeout = 10 * time.Second
 )
 
 // Serve handles a stream that the peer called from has opened.
@@ -53,18 +53,18 @@
 	now := time.Now()
 	switch kind := message.GetKind().(type) {
 	case *Message_Push:
-		return d.pushed(now, from, kind.Push)
+		return d.handlePush(now, from, kind.Push)
 	case *Message_Have:
 		delay := d.pullDelay()
 		if kind.Have.GetDirect() {
 			delay = 0
 		}
-		d.heard(now, from, sycamorerun.Version(kind.Have.GetVersion()), delay+d.detour(from))
+		d.observeVersion(now, from, sycamorerun.Version(kind.Have.GetVersion()), delay+d.crossRegionDelay(from))
 		return nil
 	case *Message_Want:
-		return d.answer(stream, kind.Want)
+		return d.handleWant(stream, kind.Want)
 	case *Message_Survey:
-		return d.answerSurvey(ctx, stream, kind.Survey)
+		return d.handleSurvey(ctx, stream, kind.Survey)
 	}
 	return errors.New("message of unknown kind")
 }
@@ -72,7 +72,7 @@
 // detour is an additional delay for a peer in another region that is linked in
 // the second tree only. The region's first member in the first tree pulls
 // first, so that the content crosses the link between the regions once.
-func (d *Distributor) detour(peer string) time.Duration {
+func (d *Distributor) crossRegionDelay(peer string) time.Duration {
 	extra := time.Duration(0)
 	for _, link := range d.Plan().Links {
 		if link.Name == peer {
@@ -88,11 +88,11 @@
 // pushed takes an entry from a peer. A push that cannot be used makes the
 // version one to pull: from this peer when entries before it are missing, by
 // the ordinary delay when its content is damaged.
-func (d *Distributor) pushed(now time.Time, from string, message *Push) error {
+func (d *Distributor) handlePush(now time.Time, from string, message *Push) error {
 	version := sycamorerun.Version(message.GetVersion())
 	if version <= d.HeldVersion() {
 		d.count("distributor_duplicate_pushes", 1)
-		d.heard(now, from, version, d.pullDelay())
+		d.observeVersion(now, from, version, d.pullDelay())
 		return nil
 	}
 	entry, err := unpackEntry(message.GetEntry())
@@ -106,51 +106,51 @@
 	case errors.Is(err, errGap) && entry.Basis() < d.HeldVersion():
 		// Another watcher's entry that is based on this node's version may be
 		// on its way, and costs less than a snapshot.
-		d.heard(now, from, version, d.pullDelay())
+		d.observeVersion(now, from, version, d.pullDelay())
 	case errors.Is(err, errGap):
-		d.heard(now, from, version, 0)
+		d.observeVersion(now, from, version, 0)
 	case err != nil:
 		d.count("distributor_damaged", 1)
 		return errors.Wrap(err, "push")
 	default:
-		d.heard(now, from, version, d.pullDelay())
+		d.observeVersion(now, from, version, d.pullDelay())
 	}
 	return nil
 }
 
 // answer replies to Want. Large answers beyond the limit are refused with a
 // time to wait.
-func (d *Distributor) answer(stream net.Conn, want *Want) error {
-	reply, large := d.reply(sycamorerun.Version(want.GetAfter()), want.GetProbe())
+func (d *Distributor) handleWant(stream net.Conn, want *Want) error {
+	reply, large := d.buildReply(sycamorerun.Version(want.GetAfter()), want.GetProbe())
 	if large {
 		select {
-		case d.serving <- struct{}{}:
-			defer func() { <-d.serving }()
+		case d.replySlots <- struct{}{}:
+			defer func() { <-d.replySlots }()
 		default:
 			d.count("distributor_busy", 1)
-			wait := busyRetryLeast + time.Duration(d.Random()*float64(busyRetryMost-busyRetryLeast))
+			wait := minBusyRetry + time.Duration(d.Random()*float64(maxBusyRetry-minBusyRetry))
 			reply = &Reply{Version: reply.GetVersion(), Ready: reply.GetReady(), RetryMs: uint32(wait.Milliseconds())}
 		}
 	}
-	_ = stream.SetWriteDeadline(time.Now().Add(answerTimeout))
+	_ = stream.SetWriteDeadline(time.Now().Add(replyTimeout))
 	n, err := encoder.Write(stream, reply)
 	d.count("distributor_sent_bytes", n)
 	return err
 }
 
 // reply chooses between entries and a snapshot by size.
-func (d *Distributor) reply(after sycamorerun.Version, probe bool) (reply *Reply, large bool) {
+func (d *Distributor) buildReply(after sycamorerun.Version, probe bool) (reply *Reply, large bool) {
 	held := d.HeldVersion()
 	reply = &Reply{Version: uint64(held), Ready: d.Ready(), Watching: d.watching(time.Now())}
 	if probe || after >= held {
 		return reply, false
 	}
 	d.mutex.Lock()
-	entries, size, ok := d.ring.after(after)
+	entries, size, ok := d.entryCache.after(after)
 	d.mutex.Unlock()
-	if !ok || size > max(smallBytes, d.packed.size()/2) {
+	if !ok || size > max(smallReplyBytes, d.snapshotCache.size()/2) {
 		tree, hash := d.Current()
-		data, err := d.packed.get(tree, hash)
+		data, err := d.snapshotCache.get(tree, hash)
 		if err != nil {
 			level.Error(d.Logger).Log("msg", "snapshot not packed", "version", tree.Version, "err", err)
 		} else if tree.Version > after && (!ok || len(data) < size) {
@@ -166,7 +166,7 @@
 		}
 		reply.Entries = append(reply.Entries, pack(data))
 	}
-	return reply, size > largeBytes
+	return reply, size > largeReplyBytes
 }
 
 // snapshotCache keeps the stored form of the last snapshot that was asked for.
--- a/node/distributor/survey.go
+++ b/node/distributor/survey.go
@@ -27,7 +27,7 @@
 )
 
 // Lagging is a node below the newest version.
-type Lagging struct {
+type LaggingNode struct {
 	Name    string
 	Version sycamorerun.Version
 	Since   time.Time
@@ -39,7 +39,7 @@
 	Target sycamorerun.Version
 	Counts map[sycamorerun.Version]int
 	// Lagging lists up to 16 nodes, those that lag longest first.
-	Lagging []Lagging
+	Lagging []LaggingNode
 	// Unreachable lists up to 16 nodes that did not answer; the nodes below
 	// them in the tree are not counted.
 	Unreachable []string
@@ -51,7 +51,7 @@
 		c.Counts[version] += count
 	}
 	c.Lagging = append(c.Lagging, other.Lagging...)
-	slices.SortFunc(c.Lagging, func(a, b Lagging) int {
+	slices.SortFunc(c.Lagging, func(a, b LaggingNode) int {
 		return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Name, b.Name))
 	})
 	c.Lagging = c.Lagging[:min(len(c.Lagging), maxLagging)]
@@ -80,24 +80,24 @@
 	}
 	deadline, _ := ctx.Deadline()
 	var group sync.WaitGroup
-	var below Convergence
+	var subtree Convergence
 	if own >= 0 {
-		group.Go(func() { below = d.surveyBelow(ctx, target, deadline) })
+		group.Go(func() { subtree = d.surveySubtree(ctx, target, deadline) })
 	}
-	d.surveyAll(ctx, &result, names, target, deadline)
+	d.surveyPeers(ctx, &result, names, target, deadline)
 	group.Wait()
-	result.merge(below)
+	result.merge(subtree)
 	return result, nil
 }
 
 // surveyBelow surveys this node and the nodes below it.
-func (d *Distributor) surveyBelow(ctx context.Context, target sycamorerun.Version, deadline time.Time) Convergence {
+func (d *Distributor) surveySubtree(ctx context.Context, target sycamorerun.Version, deadline time.Time) Convergence {
 	tree, _ := d.Current()
 	result := Convergence{Target: target, Counts: map[sycamorerun.Version]int{tree.Version: 1}}
 	if tree.Version < target {
-		result.Lagging = []Lagging{{d.Self, tree.Version, d.laggingSince(time.Now(), tree.Version)}}
+		result.Lagging = []LaggingNode{{d.Self, tree.Version, d.laggingSince(time.Now(), tree.Version)}}
 	}
-	d.surveyAll(ctx, &result, children(d.Plan().Links), target, deadline.Add(-surveyMargin))
+	d.surveyPeers(ctx, &result, children(d.Plan().Links), target, deadline.Add(-surveyMargin))
 	return result
 }
 
@@ -106,14 +106,14 @@
 func (d *Distributor) laggingSince(now time.Time, version sycamorerun.Version) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if since, ok := d.wants.behind(version); ok {
+	if since, ok := d.pulls.behindSince(version); ok {
 		return since
 	}
 	return now
 }
 
 // surveyAll asks the named nodes at once and adds their answers.
-func (d *Distributor) surveyAll(ctx context.Context, result *Convergence, names []string, target sycamorerun.Version, deadline time.Time) {
+func (d *Distributor) surveyPeers(ctx context.Context, result *Convergence, names []string, target sycamorerun.Version, deadline time.Time) {
 	var group sync.WaitGroup
 	var mutex sync.Mutex
 	for _, name := range names {
@@ -142,10 +142,10 @@
 		return Convergence{}, errors.Wrap(err, "open")
 	}
 	defer closeWith(ctx, stream)()
-	question := &Message{Kind: &Message_Survey{Survey: &Survey{
+	request := &Message{Kind: &Message_Survey{Survey: &Survey{
 		Target: uint64(target), TimeoutMs: uint32(left.Milliseconds()),
 	}}}
-	if _, err := encoder.Write(stream, question); err != nil {
+	if _, err := encoder.Write(stream, request); err != nil {
 		return Convergence{}, err
 	}
 	report, err := encoder.Read[Report](stream, surveyFrameBytes)
@@ -155,10 +155,10 @@
 	return fromReport(report), nil
 }
 
-func (d *Distributor) answerSurvey(ctx context.Context, stream net.Conn, survey *Survey) error {
+func (d *Distributor) handleSurvey(ctx context.Context, stream net.Conn, survey *Survey) error {
 	limit := min(time.Duration(survey.GetTimeoutMs())*time.Millisecond, surveyTimeout)
 	deadline := time.Now().Add(limit)
-	result := d.surveyBelow(ctx, sycamorerun.Version(survey.GetTarget()), deadline)
+	result := d.surveySubtree(ctx, sycamorerun.Version(survey.GetTarget()), deadline)
 	_ = stream.SetWriteDeadline(time.Now().Add(sendTimeout))
 	_, err := encoder.Write(stream, toReport(result))
 	return err
@@ -183,7 +183,7 @@
 		result.Counts[sycamorerun.Version(count.GetVersion())] += int(count.GetNodes())
 	}
 	for _, lag := range report.GetLagging() {
-		result.Lagging = append(result.Lagging, Lagging{
+		result.Lagging = append(result.Lagging, LaggingNode{
 			Name: lag.GetName(), Version: sycamorerun.Version(lag.GetVersion()),
 			Since: time.Unix(0, lag.GetSinceUnixNano()),
 		})
--- a/node/distributor/targets.go
+++ b/node/distributor/targets.go
@@ -39,7 +39,7 @@
 
 // peers returns the distinct peers of links; the value tells whether the peer
 // is in another region.
-func peers(links []planner.Link) map[string]bool {
+func linkedPeers(links []planner.Link) map[string]bool {
 	result := map[string]bool{}
 	for _, link := range links {
 		result[link.Name] = result[link.Name] || link.Role == planner.RoleRegion
--- a/node/distributor/watch.go
+++ b/node/distributor/watch.go
@@ -23,24 +23,24 @@
 	storeTimeout = 5 * time.Second
 	// storeRetryLeast and storeRetryMost bound the delay after a failed call.
 	// The upper bound leaves 2 s of the 7 s within which a change is due.
-	storeRetryLeast = 100 * time.Millisecond
-	storeRetryMost  = 5 * time.Second
+	minStoreRetry = 100 * time.Millisecond
+	maxStoreRetry = 5 * time.Second
 	// emptyPause keeps a store that answers each watch at once with nothing
 	// from being asked in a busy loop.
-	emptyPause = 100 * time.Millisecond
+	emptyWatchPause = 100 * time.Millisecond
 	// maxSyncs bounds the attempts to overtake a log that is moving on.
-	maxSyncs = 3
+	maxSyncAttempts = 3
 )
 
 var (
 	// errStale means that the store's log ends before a version that this
 	// node holds.
-	errStale = errors.New("store answers with older data than the node holds")
-	errSync  = errors.New("log moves on faster than it can be read")
+	errStale      = errors.New("store answers with older data than the node holds")
+	errLogTooFast = errors.New("log moves on faster than it can be read")
 )
 
 // watchLevels are the values of the metric for the role.
-var watchLevels = map[planner.Watch]float64{planner.None: 0, planner.Standby: 1, planner.Primary: 2}
+var watchGaugeValues = map[planner.Watch]float64{planner.None: 0, planner.Standby: 1, planner.Primary: 2}
 
 // watchRole is the role in the plan. A node that is starting and knows no peer
 // yet ranks first among nobody and does not watch: after a mass restart each
@@ -58,10 +58,10 @@
 }
 
 // watch follows the store in the role that the plan gives this node.
-func (d *Distributor) watch(ctx context.Context) {
+func (d *Distributor) watchLog(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		role, following := d.beginWatch(ctx)
+		role, watchCtx := d.startWatch(ctx)
 		if role != d.watchRole(d.Plan()) {
 			continue
 		}
@@ -72,19 +72,19 @@
 			}
 			continue
 		}
-		err := d.follow(following, role, func() { failures = 0 })
-		if following.Err() != nil {
+		err := d.followLog(watchCtx, role, func() { failures = 0 })
+		if watchCtx.Err() != nil {
 			continue
 		}
 		failures++
 		d.count("distributor_store_failures", 1)
 		level.Warn(d.Logger).Log("msg", "store watch failed; retrying", "role", role, "err", err)
-		_ = sleep(following, backoff(failures, storeRetryLeast, storeRetryMost, d.Random()))
+		_ = sleep(watchCtx, backoff(failures, minStoreRetry, maxStoreRetry, d.Random()))
 	}
 }
 
 // beginWatch returns the role and a context that ends when the role changes.
-func (d *Distributor) beginWatch(ctx context.Context) (planner.Watch, context.Context) {
+func (d *Distributor) startWatch(ctx context.Context) (planner.Watch, context.Context) {
 	role := d.watchRole(d.Plan())
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -92,41 +92,41 @@
 		d.stopWatch()
 	}
 	ctx, d.stopWatch = context.WithCancel(ctx)
-	d.role = role
+	d.activeRole = role
 	if d.Scope != nil {
-		d.Scope.Gauge("distributor_watch").Update(watchLevels[role])
+		d.Scope.Gauge("distributor_watch").Update(watchGaugeValues[role])
 	}
 	return role, ctx
 }
 
 // follow watches the log until an error. Worked is called after each answer.
-func (d *Distributor) follow(ctx context.Context, role planner.Watch, worked func()) error {
+func (d *Distributor) followLog(ctx context.Context, role planner.Watch, onSuccess func()) error {
 	keysOnly := role == planner.Standby
-	after, synced, err := d.begin(ctx, keysOnly)
+	after, synced, err := d.startRevision(ctx, keysOnly)
 	if err != nil {
 		return err
 	}
 	for ctx.Err() == nil {
 		started := time.Now()
-		listing, err := d.watchOnce(ctx, after, keysOnly)
+		listing, err := d.watchLogOnce(ctx, after, keysOnly)
 		switch {
 		case errors.Is(err, persister.ErrCompacted) && !synced:
 			synced = true
-			if after, err = d.sync(ctx); err != nil {
+			if after, err = d.syncLog(ctx); err != nil {
 				return err
 			}
 			continue
 		case err != nil:
 			return err
 		}
-		worked()
-		if len(listing.Objects) == 0 && time.Since(started) < emptyPause {
-			_ = sleep(ctx, emptyPause)
+		onSuccess()
+		if len(listing.Objects) == 0 && time.Since(started) < emptyWatchPause {
+			_ = sleep(ctx, emptyWatchPause)
 		}
-		next, complete := d.observe(ctx, listing, keysOnly)
+		next, complete := d.acceptListing(ctx, listing, keysOnly)
 		synced = !complete
 		if !complete {
-			if next, err = d.sync(ctx); err != nil {
+			if next, err = d.syncLog(ctx); err != nil {
 				return err
 			}
 		}
@@ -136,12 +136,12 @@
 }
 
 // watchOnce is one store call. The end of its own timeout is an empty answer.
-func (d *Distributor) watchOnce(ctx context.Context, after persister.Revision, keysOnly bool) (persister.Listing, error) {
-	limited, cancel := context.WithTimeout(ctx, watchTimeout)
+func (d *Distributor) watchLogOnce(ctx context.Context, after persister.Revision, keysOnly bool) (persister.Listing, error) {
+	callCtx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	d.count("distributor_store_calls", 1)
-	listing, err := d.Store.Watch(limited, persister.LogPrefix, after, keysOnly)
-	if err != nil && ctx.Err() == nil && limited.Err() != nil {
+	listing, err := d.Store.Watch(callCtx, persister.LogPrefix, after, keysOnly)
+	if err != nil && ctx.Err() == nil && callCtx.Err() != nil {
 		return persister.Listing{Revision: after}, nil
 	}
 	return listing, err
@@ -149,7 +149,7 @@
 
 // observe takes the objects of a watch. It returns the revision to continue
 // from and false when versions are missing and the log is to be read.
-func (d *Distributor) observe(ctx context.Context, listing persister.Listing, keysOnly bool) (persister.Revision, bool) {
+func (d *Distributor) acceptListing(ctx context.Context, listing persister.Listing, keysOnly bool) (persister.Revision, bool) {
 	after := listing.Revision
 	var newest sycamorerun.Version
 	for _, object := range listing.Objects {
@@ -159,7 +159,7 @@
 		case keysOnly:
 			newest = max(newest, slotVersion(object.Key, d.HeldVersion()))
 		default:
-			if err := d.takeObject(time.Now(), object); err != nil {
+			if err := d.acceptLogObject(time.Now(), object); err != nil {
 				level.Warn(d.Logger).Log("msg", "log object not applied", "key", object.Key, "err", err)
 				return after, false
 			}
@@ -191,20 +191,20 @@
 // begin returns the revision to watch from and whether the log has been read.
 // A standby reads the slot of its version alone, which is enough unless the
 // history of a watch no longer reaches back to it.
-func (d *Distributor) begin(ctx context.Context, keysOnly bool) (after persister.Revision, synced bool, err error) {
+func (d *Distributor) startRevision(ctx context.Context, keysOnly bool) (after persister.Revision, synced bool, err error) {
 	if held := d.HeldVersion(); keysOnly && held > 0 {
-		after, wrapped, err := d.anchor(ctx, held)
+		after, wrapped, err := d.entryRevision(ctx, held)
 		if err != nil || !wrapped {
 			return after, false, err
 		}
 	}
-	after, err = d.sync(ctx)
+	after, err = d.syncLog(ctx)
 	return after, true, err
 }
 
 // anchor returns the revision at which version was written, or true when its
 // slot has been written over.
-func (d *Distributor) anchor(ctx context.Context, version sycamorerun.Version) (persister.Revision, bool, error) {
+func (d *Distributor) entryRevision(ctx context.Context, version sycamorerun.Version) (persister.Revision, bool, error) {
 	entry, revision, err := d.readEntry(ctx, version)
 	switch {
 	case errors.Is(err, persister.ErrMissing):
@@ -219,13 +219,13 @@
 
 // sync reads what the log holds above the node's version, or the snapshot when
 // the log has wrapped, and returns the revision to watch from.
-func (d *Distributor) sync(ctx context.Context) (persister.Revision, error) {
-	for range maxSyncs {
+func (d *Distributor) syncLog(ctx context.Context) (persister.Revision, error) {
+	for range maxSyncAttempts {
 		var after persister.Revision
 		held, wrapped := d.HeldVersion(), true
 		if held > 0 {
 			var err error
-			if after, wrapped, err = d.anchor(ctx, held); err != nil {
+			if after, wrapped, err = d.entryRevision(ctx, held); err != nil {
 				return 0, err
 			}
 		}
@@ -243,7 +243,7 @@
 			return revision, err
 		}
 	}
-	return 0, errSync
+	return 0, errLogTooFast
 }
 
 // readLog applies the log objects written after a revision in the order of
@@ -263,7 +263,7 @@
 		if object.Deleted {
 			continue
 		}
-		err := d.takeObject(time.Now(), object)
+		err := d.acceptLogObject(time.Now(), object)
 		switch {
 		case errors.Is(err, errGap):
 			return revision, false, nil
@@ -287,7 +287,7 @@
 	if err != nil || tree.Version <= d.HeldVersion() {
 		return false, err
 	}
-	return true, d.install(time.Now(), tree, hash, "")
+	return true, d.installSnapshot(time.Now(), tree, hash, "")
 }
 
 func (d *Distributor) readEntry(ctx context.Context, version sycamorerun.Version) (sycamorerun.Entry, persister.Revision, error) {
--- a/node/distributor/wire.go
+++ b/node/distributor/wire.go
@@ -14,9 +14,9 @@
 )
 
 // frameBytes bounds a frame: the largest stored value and its envelope.
-const frameBytes = persister.ValueBytes + 64<<10
+const maxFrameBytes = persister.ValueBytes + 64<<10
 
-var errSum = errors.New("content does not match its checksum")
+var errChecksum = errors.New("content does not match its checksum")
 
 func pack(data []byte) *Packed {
 	return &Packed{Data: data, Sum: xxhash.Sum64(data)}
@@ -24,32 +24,32 @@
 
 func unpackEntry(packed *Packed) (sycamorerun.Entry, error) {
 	if xxhash.Sum64(packed.GetData()) != packed.GetSum() {
-		return sycamorerun.Entry{}, errSum
+		return sycamorerun.Entry{}, errChecksum
 	}
 	return persister.DecodeEntry(packed.GetData())
 }
 
 func unpackSnapshot(packed *Packed) (sycamorerun.Tree, sycamorerun.Hash, error) {
 	if xxhash.Sum64(packed.GetData()) != packed.GetSum() {
-		return sycamorerun.Tree{}, sycamorerun.Hash{}, errSum
+		return sycamorerun.Tree{}, sycamorerun.Hash{}, errChecksum
 	}
 	return persister.DecodeSnapshot(packed.GetData())
 }
 
-func push(version sycamorerun.Version, data []byte) *Message {
+func newPush(version sycamorerun.Version, data []byte) *Message {
 	return &Message{Kind: &Message_Push{Push: &Push{Version: uint64(version), Entry: pack(data)}}}
 }
 
-func have(version sycamorerun.Version, direct bool) *Message {
+func newHave(version sycamorerun.Version, direct bool) *Message {
 	return &Message{Kind: &Message_Have{Have: &Have{Version: uint64(version), Direct: direct}}}
 }
 
-func want(after sycamorerun.Version, probe bool) *Message {
+func newWant(after sycamorerun.Version, probe bool) *Message {
 	return &Message{Kind: &Message_Want{Want: &Want{After: uint64(after), Probe: probe}}}
 }
 
 // frame encodes message once, so that many links can share the bytes.
-func frame(message proto.Message) []byte {
+func encodeFrame(message proto.Message) []byte {
 	var buffer bytes.Buffer
 	if _, err := encoder.Write(&buffer, message); err != nil {
 		panic(errors.Wrap(err, "a generated message can be encoded"))
@@ -57,6 +57,6 @@
 	return buffer.Bytes()
 }
 
-func readMessage(r io.Reader) (*Message, error) { return encoder.Read[Message](r, frameBytes) }
+func readMessage(r io.Reader) (*Message, error) { return encoder.Read[Message](r, maxFrameBytes) }
 
-func readReply(r io.Reader) (*Reply, error) { return encoder.Read[Reply](r, frameBytes) }
+func readReply(r io.Reader) (*Reply, error) { return encoder.Read[Reply](r, maxFrameBytes) }
