--- a/node/distributor/backoff.go
+++ b/node/distributor/backoff.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// backoff returns a full-jitter delay: uniform between zero and a limit that
-// doubles with each failure. Random is uniform in [0, 1).
+// backoff returns a delay with full jitter: uniformly distributed between zero
+// and a limit that doubles with each failure, from minDelay up to maxDelay. Random
+// is uniformly distributed in [0, 1).
 func backoff(failures int, minDelay, maxDelay time.Duration, random float64) time.Duration {
 	limit := minDelay
 	for range min(failures-1, 30) {
--- a/node/distributor/bootstrap.go
+++ b/node/distributor/bootstrap.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// probeTimeout bounds the question for a peer's version.
+	// probeTimeout bounds a probe of a peer's version.
 	probeTimeout = time.Second
-	// bootstrapRetryLeast and bootstrapRetryMost bound the delay between two
+	// minBootstrapRetry and maxBootstrapRetry bound the delay between two
 	// rounds.
 	minBootstrapRetry = 100 * time.Millisecond
 	maxBootstrapRetry = 2 * time.Second
-	// storePatience is how long a node that reaches only peers that are
-	// starting too leaves the store to the region's watchers. When a whole
-	// fleet restarts, the store would otherwise get three reads from each node.
+	// storeReadDelay is how long a node that reaches only peers which are also
+	// starting leaves the store to the region's watchers. Without it, the store
+	// would get three reads from each node when a whole fleet restarts.
 	storeReadDelay = 5 * time.Second
-	// solitude is how long a node without any known peer waits for the first
-	// one before it reads the store, for the same reason.
+	// peerDiscoveryDelay is how long a node without known peers waits for the
+	// first one before it reads the store, for the same reason.
 	peerDiscoveryDelay = time.Second
 )
 
-// reported is the answer of one source about its newest version.
+// versionReport is the newest version that a peer or the store has.
 type versionReport struct {
 	peer    string
 	version sycamorerun.Version
-	// final is set for the store and for peers that are ready. A peer that is
-	// starting itself may still lack versions.
+	// authoritative is set for the store and for peers that are ready. A peer
+	// that is starting may still lack versions.
 	authoritative bool
 }
 
-// assess returns the newest version reported, the peer that has it, empty for
-// the store, and whether any report is final. A peer is preferred.
+// newestReport returns the report with the newest version and whether any report
+// is authoritative. Of the store and a peer with the same version, it returns the
+// peer.
 func newestReport(reports []versionReport) (newest versionReport, authoritative bool) {
 	for _, report := range reports {
 		authoritative = authoritative || report.authoritative
@@ -50,8 +51,8 @@
 	return newest, authoritative
 }
 
-// Bootstrap returns once the node has the newest version that the reachable
-// peers and the store report. It keeps trying while neither is reachable.
+// Bootstrap returns once the node holds the newest version that the reachable
+// peers and the store report. It retries while neither is reachable.
 func (d *Distributor) Bootstrap(ctx context.Context) error {
 	if d.Document != nil {
 		return d.bootstrapDocument(ctx)
@@ -62,7 +63,7 @@
 		reports := d.probePeers(ctx, probeTimeout)
 		if d.mayReadStore(reports, time.Duration(float64(time.Since(started))/jitter)) {
 			if err := d.catchUpFromStore(ctx); err != nil {
-				level.Debug(d.Logger).Log("msg", "start without the store", "err", err)
+				level.Debug(d.Logger).Log("msg", "store read failed during start; continuing without it", "err", err)
 			} else {
 				reports = append(reports, versionReport{version: d.HeldVersion(), authoritative: true})
 			}
@@ -89,23 +90,23 @@
 	}
 }
 
-// started makes the node ready.
+// markReady marks the node as ready and wakes its watch loop.
 func (d *Distributor) markReady(reports int) {
 	d.ready.Store(true)
 	signal(d.wakeWatch)
 	level.Info(d.Logger).Log("msg", "newest version reached", "version", d.HeldVersion(), "reports", reports)
 }
 
-// reached reports whether the node holds version and has some version in
-// force. A refused version counts as held, since the other nodes that refuse
-// it keep the one before it in force too.
+// hasReached reports whether the node holds version and has any version in
+// force. A refused version counts as held, since other nodes that refuse it also
+// keep the previous one in force.
 func (d *Distributor) hasReached(version sycamorerun.Version) bool {
 	tree, _ := d.Current()
 	return d.HeldVersion() >= version && (tree.Version > 0 || version == 0)
 }
 
-// mayReadStore decides whether this node asks the store after it has waited
-// for a time, which the caller stretches at random.
+// mayReadStore reports whether this node may read the store after it has waited
+// for some time, to which the caller adds jitter.
 func (d *Distributor) mayReadStore(reports []versionReport, waited time.Duration) bool {
 	plan := d.Plan()
 	switch _, authoritative := newestReport(reports); {
@@ -117,7 +118,7 @@
 	return len(reports) == 0
 }
 
-// probe asks all linked peers for their versions at once.
+// probePeers requests the versions of all linked peers concurrently.
 func (d *Distributor) probePeers(ctx context.Context, timeout time.Duration) []versionReport {
 	var (
 		group   sync.WaitGroup
@@ -139,8 +140,8 @@
 	return reports
 }
 
-// checkStore brings the node to the store's newest version. A node that has a
-// version from peers reads one slot only: the next one.
+// catchUpFromStore brings the node to the store's newest version. A node that
+// has a version from its peers first reads only the slot of the next version.
 func (d *Distributor) catchUpFromStore(ctx context.Context) error {
 	if held := d.HeldVersion(); held > 0 {
 		entry, _, err := d.readEntry(ctx, held+1)
--- a/node/distributor/bootstrap_document.go
+++ b/node/distributor/bootstrap_document.go
@@ -11,39 +11,41 @@
 )
 
 const (
-	// documentProbe bounds the question for a peer's version, so that a peer
-	// that is silent does not hold up a start.
+	// documentProbeTimeout bounds a probe of a peer's version, so that a silent
+	// peer does not delay a start.
 	documentProbeTimeout = 400 * time.Millisecond
-	// documentPatience is how long, on average, a start waits for peers that
-	// are ready before it reads the store or takes what other peers have.
+	// documentPeerWait is the mean time for which a start waits for ready peers
+	// before it reads the store or accepts the version of peers that are not
+	// ready.
 	documentPeerWait = time.Second
-	// documentRound is the longest pause between two rounds of a start;
-	// documentLate is the longest one of a start that lasts longer.
+	// documentRoundPause is the longest pause between two rounds of a start, and
+	// documentLateRoundPause the longest one after documentEarlyRounds rounds.
 	documentRoundPause     = 300 * time.Millisecond
 	documentLateRoundPause = 2 * time.Second
 	documentEarlyRounds    = 30
-	// pendingMost is how long a read may take before the store counts as
-	// unreachable for the start.
+	// maxPendingRead is how long a read may take before the start treats the
+	// store as unreachable.
 	maxPendingRead = time.Second
 )
 
-// opening is the state of a start with a document.
+// documentBootstrap is the state of a start with a document.
 type documentBootstrap struct {
 	started  time.Time
 	peerWait time.Duration
-	// reading is the result of the read in flight, which began at began.
+	// pendingRead receives the result of the read in flight, which started at
+	// readStarted.
 	pendingRead   chan error
 	readStarted   time.Time
 	readSucceeded bool
 	failures      int
-	// retry is when the next read may begin.
+	// nextRead is the earliest time of the next read after a failure.
 	nextRead time.Time
 }
 
-// mayRead decides whether the store is read at now. The planned watchers read
-// it when no peer is ready; the others first wait for those. A node that already
-// holds what its peers have waits less, since only the answer of the store, or
-// its failure, is missing.
+// mayRead reports whether to read the store at now. The planned watchers read it
+// when no peer is ready; other nodes first wait for the watchers. The wait is
+// halved for a node that no peer answers, and for a node that already holds a
+// version, since that lacks only the store's response or failure.
 func (b *documentBootstrap) mayRead(now time.Time, reports []versionReport, held sycamorerun.Version, plan planner.Plan) bool {
 	_, authoritative := newestReport(reports)
 	waited := now.Sub(b.started)
@@ -58,32 +60,32 @@
 	return waited >= 2*b.peerWait
 }
 
-// enough decides whether a node that holds the newest version reported may
-// start with it: a ready peer or the store has confirmed it, or, after the
-// patience, the store can't be reached and there is nothing better.
+// canFinish reports whether a node that holds the newest reported version may
+// start with it: a ready peer or the store has confirmed it, or the peer wait is
+// over and the store is unreachable.
 func (b *documentBootstrap) canFinish(now time.Time, reports []versionReport) bool {
 	_, authoritative := newestReport(reports)
 	storeUnreachable := b.failures > 0 || b.pendingRead != nil && now.Sub(b.readStarted) >= maxPendingRead
 	return authoritative || b.readSucceeded || storeUnreachable && now.Sub(b.started) >= b.peerWait
 }
 
-// begin starts a read.
+// startRead reads the document in the background.
 func (b *documentBootstrap) startRead(ctx context.Context, d *Distributor) {
 	b.readStarted, b.pendingRead = time.Now(), make(chan error, 1)
 	go func(result chan<- error) { result <- d.readDocument(ctx) }(b.pendingRead)
 }
 
-// finish takes the result of the read.
+// finishRead records the result of the read.
 func (b *documentBootstrap) finishRead(d *Distributor, err error) {
 	b.pendingRead, b.readSucceeded = nil, err == nil
 	if err != nil {
-		level.Debug(d.Logger).Log("msg", "start without the store", "err", err)
+		level.Debug(d.Logger).Log("msg", "store read failed during start; continuing without it", "err", err)
 		b.failures++
 		b.nextRead = time.Now().Add(minDocumentRetry + backoff(b.failures, minDocumentRetry, documentLateRoundPause, d.Random()))
 	}
 }
 
-// pause waits for the next round or for the result of the read.
+// waitRound waits for the next round or for the result of the read.
 func (b *documentBootstrap) waitRound(ctx context.Context, d *Distributor, limit time.Duration) {
 	timer := time.NewTimer(time.Duration(d.Random() * float64(limit)))
 	defer timer.Stop()
@@ -95,8 +97,8 @@
 	}
 }
 
-// bootstrapDocument returns once the node has the newest version that the
-// reachable peers report, or the document of the store.
+// bootstrapDocument returns once the node holds the newest version that the
+// reachable peers report or the document from the store.
 func (d *Distributor) bootstrapDocument(ctx context.Context) error {
 	b := &documentBootstrap{
 		started:  time.Now(),
--- a/node/distributor/deputy.go
+++ b/node/distributor/deputy.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// monitorPeriod is the mean time between two probes of a watcher. The
-	// failure detection takes 6 to 9 s, more than a version may take to be in
+	// monitorPeriod is the mean time between two probes of a watcher. Failure
+	// detection alone takes 6 to 9 s, longer than a version may take to be in
 	// force.
 	monitorPeriod = time.Second
 	// monitorTimeout bounds a probe.
 	monitorTimeout = 500 * time.Millisecond
-	// deputyDelay is by how much a group of deputies waits longer than the one
-	// before, so that usually only one group takes over.
+	// deputyGroupDelay is the additional wait of each group of deputies, so that
+	// usually only one group takes over.
 	deputyGroupDelay = 250 * time.Millisecond
-	// takeoverLeast is how long a deputy watches at least.
+	// minTakeover is the shortest time for which a deputy watches after a
+	// takeover.
 	minTakeover = 5 * time.Second
 )
 
-// monitor probes the planned watchers while this node is one of their deputies
-// and watches in their place when none of them reaches the store.
+// monitorWatchers probes the planned watchers while this node is one of their
+// deputies, and takes over the watch when none of them reaches the store.
 func (d *Distributor) monitorWatchers(ctx context.Context) {
 	var takeoverStart time.Time
 	for sleep(ctx, time.Duration((0.75+0.5*d.Random())*float64(monitorPeriod))) {
@@ -36,9 +37,10 @@
 		case rank < 0 || !d.Ready():
 			d.setTakeover(false)
 		case d.storeHealth.consecutiveFailures() >= maxStoreFailures:
-			// A deputy that is cut off from the store itself tries at the
-			// slower pace of standAside, which bounds the calls of a fleet at a
-			// store that is down. It still hears the watchers' versions.
+			// A deputy that is itself cut off from the store probes it at the
+			// slower rate of waitForRole, which bounds the calls of a fleet to a
+			// store that is down. It still probes the watchers for their
+			// versions.
 			d.setTakeover(false)
 			d.watcherReachesStore(ctx, plan.Watchers, rank)
 		case d.takeover.Load():
@@ -53,21 +55,22 @@
 	}
 }
 
-// lookedAfter reports whether some watcher reaches the store, starting with
-// the one that this deputy probes. While all is well it costs one probe.
+// watcherReachesStore reports whether any watcher reaches the store. It probes
+// the watcher assigned to this deputy first, so that normal operation costs a
+// single probe.
 func (d *Distributor) watcherReachesStore(ctx context.Context, watchers []string, rank int) bool {
 	assigned := rank % len(watchers)
 	if d.anyWatching(ctx, watchers[assigned:assigned+1]) {
 		return true
 	}
-	// The session to the watcher broke, so that news may have to come from
-	// elsewhere.
+	// The session to the watcher may be broken, so new versions may have to
+	// come from other peers.
 	d.pullFromRandomPeers(ctx, fallbackPeers)
 	return d.anyWatching(ctx, slices.Delete(slices.Clone(watchers), assigned, assigned+1))
 }
 
-// orphaned reports whether none of the watchers and of the deputies before
-// this one reaches the store.
+// shouldTakeOver reports whether none of the watchers and of the deputies with a
+// lower rank reaches the store.
 func (d *Distributor) shouldTakeOver(ctx context.Context, watchers, earlierDeputies []string) bool {
 	if d.watcherReachesStore(ctx, watchers, len(earlierDeputies)) {
 		return false
@@ -79,7 +82,8 @@
 	return !d.anyWatching(ctx, slices.Concat(watchers, earlierDeputies))
 }
 
-// anyWatching asks the named peers at once.
+// anyWatching probes the named peers concurrently and reports whether any of them
+// is watching the store.
 func (d *Distributor) anyWatching(ctx context.Context, names []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, monitorTimeout)
 	defer cancel()
@@ -97,7 +101,8 @@
 	return false
 }
 
-// peerWatches probes one peer, which also tells its version.
+// probeWatcher reports whether a peer is watching the store, and records the
+// peer's version.
 func (d *Distributor) probeWatcher(ctx context.Context, name string) bool {
 	reply, err := d.request(ctx, name, 0, true, monitorTimeout)
 	if err != nil {
@@ -107,7 +112,7 @@
 	return reply.GetWatching()
 }
 
-// takeOver starts or ends the watch in place of the planned watchers.
+// setTakeover starts or ends the watch in place of the planned watchers.
 func (d *Distributor) setTakeover(active bool) {
 	if d.takeover.Swap(active) == active {
 		return
--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -1,6 +1,6 @@
-// Package distributor brings accepted versions to every node: it watches the
-// store where the plan selects the node to, pushes down the trees, pulls what
-// is missing and answers the pulls of others.
+// Package distributor replicates accepted versions to every node. Nodes that
+// the plan selects watch the store; all nodes push versions down the trees, pull
+// the versions that they lack and serve the pulls of their peers.
 package distributor
 
 import (
@@ -23,63 +23,68 @@
 	"sycamorerun/persister"
 )
 
-// Kind is the kind of the distributor's streams.
+// Kind is the stream kind of the distributor.
 const Kind = "distributor"
 
-// DefaultStandbyDelay is the default of the setting --standby-delay.
+// DefaultStandbyDelay is the default of --standby-delay.
 const DefaultStandbyDelay = 500 * time.Millisecond
 
-// Mode selects the way of distribution. All but Tree are baselines for
-// measurements.
+// Mode selects how versions are distributed. All modes but Tree are baselines
+// for measurements.
 type Mode string
 
-// Modes of distribution.
+// Distribution modes.
 const (
 	Tree Mode = "tree"
 	// Poll has every node watch the store itself; nothing is pushed.
 	Poll Mode = "poll"
-	// Gossip sends Have to random live peers and asks one each second.
+	// Gossip sends Have to random live peers and pulls from a random one each
+	// second.
 	Gossip Mode = "gossip"
 )
 
-// Distributor owns the recent entries and what is known of peers' versions.
-// The exported fields are set before Run.
+// Distributor replicates versions between the store, this node and its peers.
+// The exported fields must be set before Run.
 type Distributor struct {
 	// Self is the node's name.
 	Self string
 	Mode Mode
-	// StandbyDelay returns how long the standby waits for the primary's push.
+	// StandbyDelay returns how long a standby watcher waits for the primary's
+	// push before it reads the store.
 	StandbyDelay func() time.Duration
 	Store        persister.Store
-	// Document is the operators' document; nil selects the log in Store.
+	// Document is the source of the operators' document; if nil, versions come
+	// from the log in Store.
 	Document *Document
-	// PublishDistance publishes the distance of the store.
+	// PublishDistance publishes this node's distance to the store.
 	PublishDistance func(now time.Time, distance int)
 	// Current returns the tree in force and its hash.
 	Current func() (sycamorerun.Tree, sycamorerun.Hash)
-	// Apply and Install put a version in force or return why they did not.
+	// Apply and Install put a version in force or return the reason for its
+	// refusal.
 	Apply   func(now time.Time, entry sycamorerun.Entry) error
 	Install func(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash) error
-	// Plan is called with locks held and must not call the distributor.
+	// Plan returns the plan in force. It is called with locks held and must not
+	// call the distributor.
 	Plan func() planner.Plan
-	// Open opens a stream of kind to the peer with name.
+	// Open opens a stream of the given kind to a peer.
 	Open func(ctx context.Context, peer, kind string) (net.Conn, error)
-	// Peers returns the names of the live peers, for Gossip and for a node
-	// whose parent is silent.
+	// Peers returns the names of the live peers. Gossip mode and nodes whose
+	// parent is silent pull from them.
 	Peers func() []string
-	// Random returns a uniform number in [0, 1).
+	// Random returns a uniformly distributed number in [0, 1).
 	Random func() float64
 	Logger log.Logger
 	Scope  tally.Scope
 
-	// accepting orders the acceptance of versions; it is held while one is
-	// applied. The other mutexes are held for short times only.
+	// acceptMutex serializes the acceptance of versions and is held while one is
+	// applied. The other mutexes are held only briefly.
 	acceptMutex sync.Mutex
 	heldVersion atomic.Uint64
-	// refused is the newest version that was verified but refused here, the
-	// base of the entry after it.
+	// refusedTree is the tree of the held version while this node refuses to put
+	// it in force. The next entry is based on it.
 	refusedTree *sycamorerun.Tree
-	// recent are the trees held before, for entries that are based on them.
+	// recentTrees are earlier trees on which entries may be based.
 	recentTrees []sycamorerun.Tree
 
 	planMutex sync.Mutex
@@ -90,7 +95,7 @@
 	parent     parent
 	links      map[string]*link
 	runContext context.Context
-	// role is the watch that is running and stopWatch ends it.
+	// activeRole is the role of the running watch, which stopWatch cancels.
 	activeRole planner.Watch
 	stopWatch  context.CancelFunc
 
@@ -101,11 +106,12 @@
 	gossipSlots   chan struct{}
 	snapshotCache snapshotCache
 	storeHealth   storeHealth
-	// taken is set while this node watches in place of the planned watchers.
+	// takeover is set while this deputy watches the store in place of the planned
+	// watchers.
 	takeover atomic.Bool
 }
 
-// New returns a Distributor with its defaults.
+// New returns a Distributor with default settings.
 func New() *Distributor {
 	return &Distributor{
 		Mode:            Tree,
@@ -123,7 +129,7 @@
 	}
 }
 
-// Run distributes until ctx ends.
+// Run distributes versions until ctx is done.
 func (d *Distributor) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -150,10 +156,10 @@
 	return ctx.Err()
 }
 
-// Replan adjusts the links and the watch to the plan. It is called after each
-// change of the members.
+// Replan adjusts the links and the watch to the current plan. It is called
+// after each membership change.
 func (d *Distributor) Replan() {
-	// A plan that was read earlier must not replace a later one.
+	// Concurrent calls must not let an older plan replace a newer one.
 	d.planMutex.Lock()
 	defer d.planMutex.Unlock()
 	plan := d.Plan()
@@ -179,8 +185,8 @@
 	signal(d.wakePull)
 }
 
-// adjustWatch ends a watch in a role other than that of the plan; the caller
-// holds the mutex.
+// adjustWatch cancels the running watch if the plan gives this node another
+// role. The caller holds d.mutex.
 func (d *Distributor) adjustWatch(plan planner.Plan) {
 	if d.stopWatch != nil && d.activeRole != d.watchRole(plan) {
 		d.stopWatch()
@@ -188,7 +194,8 @@
 	signal(d.wakeWatch)
 }
 
-// relink starts and stops links; the caller holds the mutex.
+// updateLinks starts the links to new peers and stops those to removed peers.
+// The caller holds d.mutex.
 func (d *Distributor) updateLinks(linked, isChild map[string]bool) {
 	for name, link := range d.links {
 		if _, ok := linked[name]; !ok {
@@ -211,14 +218,14 @@
 	}
 }
 
-// HeldVersion returns the newest version whose content this node has verified. It is
-// above the version in force while that content is refused here.
+// HeldVersion returns the newest version whose content this node has verified.
+// It is above the version in force while this node refuses that content.
 func (d *Distributor) HeldVersion() sycamorerun.Version {
 	tree, _ := d.Current()
 	return max(tree.Version, sycamorerun.Version(d.heldVersion.Load()))
 }
 
-// Ready reports whether Bootstrap has found the newest version.
+// Ready reports whether Bootstrap has completed.
 func (d *Distributor) Ready() bool { return d.ready.Load() }
 
 // ApplyCommitted takes an entry that this node committed to the store.
@@ -232,7 +239,7 @@
 	}
 }
 
-// ObserveHeartbeat records a peer's version, as carried by heartbeats.
+// ObserveHeartbeat records the version that a peer's heartbeat reports.
 func (d *Distributor) ObserveHeartbeat(peer string, version sycamorerun.Version) {
 	now := time.Now()
 	d.mutex.Lock()
@@ -251,7 +258,7 @@
 	}
 }
 
-// Entry returns a recent entry.
+// Entry returns the entry of version if it is still cached.
 func (d *Distributor) Entry(version sycamorerun.Version) (sycamorerun.Entry, bool) {
 	d.mutex.Lock()
 	data, ok := d.entryCache.get(version)
@@ -263,7 +270,7 @@
 	return entry, err == nil
 }
 
-// Entries returns up to limit recent entries, newest first.
+// Entries returns up to limit cached entries, newest first.
 func (d *Distributor) Entries(limit int) []sycamorerun.Entry {
 	d.mutex.Lock()
 	newest := slices.Clone(d.entryCache.entries[max(0, len(d.entryCache.entries)-limit):])
@@ -277,13 +284,13 @@
 	return entries
 }
 
-// errGap means that versions before an entry are missing.
+// errGap means that this node lacks the version on which an entry is based.
 var errGap = errors.New("versions are missing")
 
-// accept applies entry, whose stored form is data, and forwards it. An entry
-// at or below the held version is ignored. An entry that this node refuses
-// although its content is intact is forwarded all the same, since the rules of
-// another node may differ, and becomes the base of the next one.
+// accept applies entry, whose stored encoding is data, and forwards it. An entry
+// at or below the held version is ignored. An entry with intact content that
+// this node refuses is still forwarded, since the validation rules of other
+// nodes may differ, and becomes the base of the next entry.
 func (d *Distributor) accept(now time.Time, entry sycamorerun.Entry, data []byte, source string) error {
 	d.acceptMutex.Lock()
 	defer d.acceptMutex.Unlock()
@@ -295,7 +302,7 @@
 		if tree, ok := d.recentTree(base); ok {
 			return d.installWithEntry(now, differ.Apply(tree, entry.Version, entry.Difference), entry.Hash, entry.Time, source)
 		}
-		return errors.Wrapf(errGap, "version %s on top of %s after %s", entry.Version, base, held)
+		return errors.Wrapf(errGap, "entry of version %s is based on %s, but the node holds %s", entry.Version, base, held)
 	}
 	previous := d.heldTree()
 	if err := d.applyEntry(now, entry); err != nil {
@@ -309,8 +316,8 @@
 	return nil
 }
 
-// put applies entry on the tree in force or on the refused one. It returns an
-// error only when the content does not match its hash.
+// applyEntry applies entry to the tree in force or to the refused one. It
+// returns an error only if the resulting content does not match its hash.
 func (d *Distributor) applyEntry(now time.Time, entry sycamorerun.Entry) error {
 	base, _ := d.Current()
 	if d.refusedTree != nil {
@@ -324,7 +331,8 @@
 	return d.recordHeld(differ.Apply(base, entry.Version, entry.Difference), entry.Hash, err)
 }
 
-// settle records the version of tree as held, in force or refused with err.
+// recordHeld records the version of tree as held. A non-nil err is the reason
+// for which it was refused and is returned if the tree does not match hash.
 func (d *Distributor) recordHeld(tree sycamorerun.Tree, hash sycamorerun.Hash, err error) error {
 	if err != nil && differ.Hash(tree.Items) != hash {
 		return err
@@ -338,7 +346,8 @@
 	return nil
 }
 
-// install puts a whole tree in force and tells the peers.
+// installSnapshot installs a complete tree and announces its version to the
+// peers.
 func (d *Distributor) installSnapshot(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, source string) error {
 	d.acceptMutex.Lock()
 	defer d.acceptMutex.Unlock()
@@ -351,7 +360,8 @@
 	if err := d.recordHeld(tree, hash, d.Install(now, tree, hash)); err != nil {
 		return err
 	}
-	// The entries end below the snapshot's version and no longer answer a pull.
+	// The cached entries end below the snapshot's version and cannot answer
+	// pulls any more.
 	d.mutex.Lock()
 	d.entryCache = entryCache{}
 	d.mutex.Unlock()
@@ -359,7 +369,8 @@
 	return nil
 }
 
-// forward tells the peers about version; data is nil after a snapshot.
+// forward announces version to the peers or pushes its entry. Data is nil if
+// there is no entry, as after a snapshot.
 func (d *Distributor) forward(version sycamorerun.Version, data []byte, source string) {
 	signal(d.wakePull)
 	switch d.Mode {
--- a/node/distributor/document.go
+++ b/node/distributor/document.go
@@ -13,36 +13,38 @@
 	"sycamorerun/persister"
 )
 
-// Document is a configuration that operators write into the store as one
-// document. Versions grow with gaps. Both functions return when ctx ends; their
-// errors include persister.ErrMissing while there is no document.
+// Document gives access to a configuration that operators write into the store
+// as a single document. Its versions increase, possibly with gaps. Both functions
+// return when ctx is done and return persister.ErrMissing while there is no
+// document.
 type Document struct {
-	// Read returns the document and the revision to watch from.
+	// Read returns the document and the revision from which to watch.
 	Read func(ctx context.Context) (sycamorerun.Tree, persister.Revision, error)
-	// Watch waits for up to 3 s until the document is written above a revision.
-	// It returns the revision for the next call. The error
-	// persister.ErrCompacted means that the document is to be read again.
+	// Watch waits for up to 3 s for a write of the document after a revision and
+	// returns the revision for the next call. After persister.ErrCompacted the
+	// document must be read again.
 	Watch func(ctx context.Context, after persister.Revision) (tree sycamorerun.Tree, next persister.Revision, changed bool, err error)
 }
 
 const (
-	// documentWait is the longest wait of a watch at the store, documentMargin
-	// the time for the answer. Together they bound how long a silent
-	// connection is waited for.
+	// documentWatchWait is the longest wait of a watch in the store, and
+	// documentWatchMargin the time for its response. Their sum bounds the wait
+	// on a silent connection.
 	documentWatchWait   = 3 * time.Second
 	documentWatchMargin = 1500 * time.Millisecond
-	// documentRead bounds a read of a store that is slow.
+	// documentReadTimeout bounds a read from a slow store.
 	documentReadTimeout = 2500 * time.Millisecond
-	// documentRetryLeast and documentRetryMost bound the delay after a failed
+	// minDocumentRetry and maxDocumentRetry bound the delay after a failed
 	// call.
 	minDocumentRetry = 100 * time.Millisecond
 	maxDocumentRetry = time.Second
-	// documentPullDelay is how long a node waits for a push after a Have.
-	// Watchers can be leaves of the trees, from which a version travels up
-	// through several Haves.
+	// documentPullDelay is how long a node waits for a push after a Have. It is
+	// short because a watcher can be a leaf of the trees, from which a version
+	// travels up through several Haves.
 	documentPullDelay = 100 * time.Millisecond
-	// recentTrees is how many trees a node keeps to apply entries of watchers
-	// that missed a version in between. They share their items.
+	// maxRecentTrees is the number of earlier trees that a node keeps, so that
+	// it can apply entries from watchers that skipped a version. The trees share
+	// their items.
 	maxRecentTrees = 4
 )
 
@@ -53,7 +55,7 @@
 	return pullDelay
 }
 
-// base returns the tree of the held version, which may be a refused one.
+// heldTree returns the tree of the held version, which may be refused.
 func (d *Distributor) heldTree() sycamorerun.Tree {
 	if d.refusedTree != nil {
 		return *d.refusedTree
@@ -62,7 +64,7 @@
 	return tree
 }
 
-// remember keeps a tree that was held; the caller holds accepting.
+// addRecentTree keeps a tree that was held. The caller holds d.acceptMutex.
 func (d *Distributor) addRecentTree(tree sycamorerun.Tree) {
 	if d.Document == nil || tree.Version == 0 {
 		return
@@ -73,7 +75,7 @@
 	}
 }
 
-// recall returns a tree that was held; the caller holds accepting.
+// recentTree returns a tree that was held. The caller holds d.acceptMutex.
 func (d *Distributor) recentTree(version sycamorerun.Version) (sycamorerun.Tree, bool) {
 	for _, tree := range d.recentTrees {
 		if tree.Version == version {
@@ -83,9 +85,9 @@
 	return sycamorerun.Tree{}, false
 }
 
-// advance puts a whole tree in force. It is passed on as an entry based on the
-// version held before, which the nodes below hold too. The caller holds
-// accepting and has compared the versions.
+// installWithEntry installs a complete tree and forwards it as an entry based on
+// the previously held version, which the nodes below usually hold too. The caller
+// holds d.acceptMutex and has checked that the tree is newer.
 func (d *Distributor) installWithEntry(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, acceptedAt time.Time, source string) error {
 	previous := d.heldTree()
 	if err := d.recordHeld(tree, hash, d.Install(now, tree, hash)); err != nil {
@@ -100,7 +102,7 @@
 			Difference: differ.Compare(previous.Items, tree.Items),
 		})
 		if err != nil {
-			level.Warn(d.Logger).Log("msg", "difference not packed; peers pull a snapshot", "version", tree.Version, "err", err)
+			level.Warn(d.Logger).Log("msg", "encoding the difference failed; peers will pull a snapshot", "version", tree.Version, "err", err)
 			data = nil
 		}
 	}
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// take accepts a tree from the store. One that is not newer than the held
-// version is ignored.
+// acceptDocument accepts a tree from the store. A tree that is not newer than the
+// held version is ignored.
 func (d *Distributor) acceptDocument(now time.Time, tree sycamorerun.Tree) error {
 	hash := differ.Hash(tree.Items)
 	d.acceptMutex.Lock()
@@ -130,9 +132,9 @@
 	return d.installWithEntry(now, tree, hash, now, "")
 }
 
-// documentRole is the role in the plan. A node that is not ready leaves the
-// store to Bootstrap. A standby watches as well: the documents' watchers have
-// no order.
+// documentRole returns the node's role in watching the document. A node that is
+// not ready has none, since only Bootstrap reads the store until then. A standby
+// watches like a primary, since watchers of a document have no order.
 func (d *Distributor) documentRole(plan planner.Plan) planner.Watch {
 	switch {
 	case !d.Ready():
@@ -143,7 +145,7 @@
 	return plan.Watch
 }
 
-// watchDocument follows the document in the role that the plan gives this node.
+// watchDocument watches the document in the role that the plan gives this node.
 func (d *Distributor) watchDocument(ctx context.Context) {
 	for ctx.Err() == nil {
 		role, watchCtx := d.startWatch(ctx)
@@ -158,9 +160,8 @@
 		if watchCtx.Err() != nil {
 			continue
 		}
-		level.Warn(d.Logger).Log("msg", "watch of the document failed; retrying", "err", err)
-		// A store that answers, but not with a document to follow, gets no
-		// quick retries.
+		level.Warn(d.Logger).Log("msg", "document watch failed; retrying", "err", err)
+		// No quick retries if the store responds, but without a usable document.
 		delay := maxDocumentRetry
 		if failures := d.storeHealth.consecutiveFailures(); failures > 0 {
 			delay = backoff(failures, minDocumentRetry, maxDocumentRetry, d.Random())
@@ -169,9 +170,10 @@
 	}
 }
 
-// standAside waits for a change of the role. A node whose calls failed tries
-// the store from time to time, to be of use again. It watches when it can: the
-// answer has the document only when that has changed.
+// waitForRole waits until the role may have changed. A node that is cut off from
+// the store meanwhile probes it, so that it becomes eligible as a watcher again.
+// It probes with a watch if it knows a revision, since the response then contains
+// the document only if that has changed.
 func (d *Distributor) waitForRole(ctx context.Context) {
 	wait := maxIdleWait
 	if d.Ready() {
@@ -188,12 +190,12 @@
 			callStore = func(ctx context.Context) error { _, err := d.watchDocumentOnce(ctx); return err }
 		}
 		if err := callStore(ctx); err != nil {
-			level.Debug(d.Logger).Log("msg", "store not reached", "err", err)
+			level.Debug(d.Logger).Log("msg", "store probe failed", "err", err)
 		}
 	}
 }
 
-// followDocument watches the document until an error.
+// followDocument watches the document until an error occurs.
 func (d *Distributor) followDocument(ctx context.Context) error {
 	for compacted := false; ctx.Err() == nil; {
 		if d.storeHealth.revision() == 0 {
@@ -218,7 +220,7 @@
 	return ctx.Err()
 }
 
-// watchDocumentOnce is one watch at the store.
+// watchDocumentOnce makes a single watch call to the store.
 func (d *Distributor) watchDocumentOnce(ctx context.Context) (bool, error) {
 	callCtx, cancel := context.WithTimeout(ctx, documentWatchWait+documentWatchMargin)
 	defer cancel()
@@ -252,7 +254,8 @@
 	return true, d.acceptDocument(time.Now(), tree)
 }
 
-// readDocument is one read of the store. Its latency is the distance.
+// readDocument makes a single read call to the store, whose latency determines
+// the node's distance.
 func (d *Distributor) readDocument(ctx context.Context) error {
 	callCtx, cancel := context.WithTimeout(ctx, documentReadTimeout)
 	defer cancel()
--- a/node/distributor/entry_cache.go
+++ b/node/distributor/entry_cache.go
@@ -12,21 +12,22 @@
 	maxCachedBytes   = 4 << 20
 )
 
-// ring holds the newest entries in their stored form. Each one is based on the
-// version of the one before it.
+// entryCache holds the newest entries in their stored encoding. Each entry is
+// based on the version of its predecessor.
 type entryCache struct {
 	entries []cachedEntry
 	bytes   int
 }
 
-// kept is an entry in its stored form.
+// cachedEntry is an entry in its stored encoding.
 type cachedEntry struct {
 	version, base sycamorerun.Version
 	data          []byte
 }
 
-// chain appends an entry. One that is not based on the last one replaces the
-// content, since an answer with a gap is of no use.
+// add appends an entry and evicts the oldest ones beyond the limits. An entry that
+// is not based on the last one replaces all others, since a reply with a gap is
+// useless.
 func (c *entryCache) add(version, base sycamorerun.Version, data []byte) {
 	if n := len(c.entries); n > 0 && c.entries[n-1].version != base {
 		*c = entryCache{}
@@ -40,7 +41,8 @@
 	}
 }
 
-// search returns the position of the first entry of version or above.
+// search returns the index of the first entry at or above version, and whether
+// that entry has exactly that version.
 func (c *entryCache) search(version sycamorerun.Version) (int, bool) {
 	return slices.BinarySearchFunc(c.entries, version, func(e cachedEntry, version sycamorerun.Version) int {
 		return cmp.Compare(e.version, version)
@@ -55,8 +57,8 @@
 	return c.entries[i].data, true
 }
 
-// after returns the entries above version and their size, or false when none
-// of them is based on version.
+// after returns the entries above version and their total size, or false if the
+// first of them is not based on version.
 func (c *entryCache) after(version sycamorerun.Version) (entries [][]byte, bytes int, ok bool) {
 	n := len(c.entries)
 	if n == 0 {
--- a/node/distributor/fallback.go
+++ b/node/distributor/fallback.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// parentSilence is the time without a heartbeat from the parent in the
-	// first tree after which a node looks for other sources. Waiting until the
-	// parent counts as failed takes about 9 s, more than a change may take to
-	// be in force.
+	// parentSilenceTimeout is the time without a heartbeat from the parent in the
+	// first tree after which a node uses other sources. Failure detection takes
+	// about 9 s, longer than a change may take to be in force.
 	parentSilenceTimeout = 2500 * time.Millisecond
-	// fallbackPeers is how many random peers are asked in each period, so that
-	// an answer comes in time although some of them are silent as well.
+	// fallbackPeers is the number of random peers asked in each period, so that
+	// one responds in time even if others are silent too.
 	fallbackPeers = 3
 )
 
-// parent is the node's parent in the first tree and when it was last heard.
+// parent is the node's parent in the first tree and its last heartbeat.
 type parent struct {
 	name          string
 	lastHeartbeat time.Time
-	// periods counts the periods of its silence.
+	// silentPeriods counts the periods since the parent became silent.
 	silentPeriods uint
 }
 
-// follow notes the parent of the plan in force. A new one starts as heard.
+// update sets the parent from the links of the current plan. A new parent gets
+// the full timeout from now on.
 func (p *parent) update(now time.Time, links []planner.Link) {
 	name := ""
 	for _, link := range links {
@@ -49,9 +49,9 @@
 	}
 }
 
-// fallback says what to do at now: ask random peers, and read the store. The
-// store is read in the periods 1, 2, 4, 8 and so on of a silence, which bounds
-// its load when many nodes lose their parents at once.
+// fallbackSources reports whether to ask random peers and to read the store at
+// now. The store is read in the silent periods 1, 2, 4, 8 and so on, which bounds
+// its load when many nodes lose their parents at the same time.
 func (p *parent) fallbackSources(now time.Time) (peers, store bool) {
 	if p.name == "" || now.Sub(p.lastHeartbeat) < parentSilenceTimeout {
 		return false, false
@@ -60,8 +60,9 @@
 	return true, bits.OnesCount(p.silentPeriods) == 1
 }
 
-// fallbackStore reads the store for news. The document's watchers follow it
-// anyway, and their deputies know whether one of them works.
+// fallBackToStore reads new versions from the store. The watchers of a document
+// and their deputies skip the read: watchers receive all changes, and deputies
+// probe the watchers.
 func (d *Distributor) fallBackToStore(ctx context.Context) error {
 	plan := d.Plan()
 	switch {
@@ -73,9 +74,9 @@
 	return d.readDocument(ctx)
 }
 
-// fallback looks for new versions elsewhere while the parent is silent. Each
-// part of the fleet that is cut off from the watchers has a topmost node whose
-// parent is silent, and that node brings the version to those below it.
+// runFallback fetches new versions from other sources while the parent is silent.
+// Each subtree that is cut off from the watchers has a root whose parent is
+// silent; that node fetches the version for its descendants.
 func (d *Distributor) runFallback(ctx context.Context) {
 	for sleep(ctx, gossipPeriod) {
 		links := d.Plan().Links
@@ -92,7 +93,7 @@
 		}
 		go func() {
 			if err := d.fallBackToStore(ctx); err != nil && ctx.Err() == nil {
-				level.Debug(d.Logger).Log("msg", "store not read while the parent is silent", "err", err)
+				level.Debug(d.Logger).Log("msg", "store read failed while the parent is silent", "err", err)
 			}
 		}()
 	}
--- a/node/distributor/gossip.go
+++ b/node/distributor/gossip.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// gossipPeers is the number of peers told about a new version.
+	// gossipPeers is the number of peers that are notified of a new version.
 	gossipPeers = 4
-	// gossipPeriod is the time between two anti-entropy requests.
+	// gossipPeriod is the interval between anti-entropy requests.
 	gossipPeriod = time.Second
-	// maxCasts bounds the messages to random peers that are being sent.
+	// maxGossipSends bounds the concurrent sends to random peers.
 	maxGossipSends = 16
 )
 
-// spread tells random live peers about a new version.
+// gossipVersion announces a new version to random live peers.
 func (d *Distributor) gossipVersion(version sycamorerun.Version, source string) {
 	d.mutex.Lock()
 	ctx := d.runContext
@@ -50,14 +50,14 @@
 	}
 }
 
-// ask pulls from a random live peer in each period.
+// runAntiEntropy pulls from a random live peer in each period.
 func (d *Distributor) runAntiEntropy(ctx context.Context) {
 	for sleep(ctx, gossipPeriod) {
 		d.pullFromRandomPeers(ctx, 1)
 	}
 }
 
-// askRandom pulls from n random live peers.
+// pullFromRandomPeers starts pulls from n random live peers.
 func (d *Distributor) pullFromRandomPeers(ctx context.Context, n int) {
 	for _, peer := range samplePeers(d.Peers(), n, "", d.Random) {
 		d.mutex.Lock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// choose returns n distinct random names without the excluded one.
+// samplePeers returns up to n distinct random names other than excluded.
 func samplePeers(names []string, n int, excluded string, random func() float64) []string {
 	candidates := make([]string, 0, len(names))
 	for _, name := range names {
--- a/node/distributor/link.go
+++ b/node/distributor/link.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// sendTimeout is how long a frame may wait for a peer that reads nothing.
+	// sendTimeout bounds the write of a frame to a peer that does not read.
 	sendTimeout = 3 * time.Second
-	// linkRetryLeast and linkRetryMost bound the delay before a reconnect.
+	// minLinkRetry and maxLinkRetry bound the delay before a reconnect.
 	minLinkRetry = 100 * time.Millisecond
 	maxLinkRetry = 10 * time.Second
 )
 
-// link sends to one peer over a stream of its own, so that a slow peer delays
-// no other one.
+// link sends to one peer over a separate stream, so that a slow peer does not
+// delay others.
 type link struct {
 	peer  string
 	stop  context.CancelFunc
 	wake  chan struct{}
 	mutex sync.Mutex
 	queue queue
-	// down is set when the peer expects its content from this node.
+	// child is set when the peer is a child in the first tree and expects pushes
+	// from this node.
 	child bool
 }
 
@@ -52,8 +53,9 @@
 	return l.queue.next()
 }
 
-// restart replaces the queue's content by a Have, since the arrival of the
-// last frame is unknown: the peer pulls what it lacks.
+// resetQueue queues a Have of version, which replaces the queued frames of a
+// child. It is unknown whether the last frame arrived, so the peer pulls what it
+// lacks.
 func (l *link) resetQueue(version sycamorerun.Version) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -71,7 +73,7 @@
 	l.child = child
 }
 
-// run sends until ctx ends, reconnecting with full jitter.
+// run sends until ctx is done and reconnects after a backoff with full jitter.
 func (l *link) run(ctx context.Context, d *Distributor) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -91,8 +93,8 @@
 	}
 }
 
-// session opens a stream when there is something to send and sends on it
-// until an error.
+// session opens a stream once a frame is queued and writes frames to it until an
+// error occurs.
 func (l *link) session(ctx context.Context, d *Distributor) (sent bool, err error) {
 	var stream net.Conn
 	for {
@@ -107,21 +109,21 @@
 		}
 		if stream == nil {
 			if stream, err = d.open(ctx, l.peer, sendTimeout); err != nil {
-				return sent, errors.Wrap(err, "open")
+				return sent, errors.Wrap(err, "open stream")
 			}
 			defer closeWith(ctx, stream)()
 		}
 		_ = stream.SetWriteDeadline(time.Now().Add(sendTimeout))
 		if _, err := stream.Write(data); err != nil {
-			return sent, errors.Wrap(err, "send")
+			return sent, errors.Wrap(err, "write frame")
 		}
 		d.count("distributor_sent_bytes", len(data))
 		sent = true
 	}
 }
 
-// closeWith closes stream when ctx ends, which interrupts a blocked read or
-// write. The returned function closes it at once.
+// closeWith closes stream when ctx is done, which interrupts a blocked read or
+// write. The returned function closes it immediately.
 func closeWith(ctx context.Context, stream net.Conn) func() {
 	stop := context.AfterFunc(ctx, func() { _ = stream.Close() })
 	return func() {
--- a/node/distributor/pull.go
+++ b/node/distributor/pull.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// pullTimeout bounds a pull; a second peer is asked before it ends.
+	// pullTimeout bounds a pull. A hedged pull from another peer starts earlier.
 	pullTimeout = 10 * time.Second
-	// silence is how long a pull waits for the next bytes. Two pulls from
-	// peers that stalled must not last until the change is overdue.
+	// idleTimeout bounds the wait of a pull for the next bytes. Pulls from two
+	// stalled peers must end before the change is due.
 	idleTimeout = 2 * time.Second
 )
 
-// errNoProgress means that a peer with a newer version sent nothing usable.
-var errNoProgress = errors.New("answer without a newer version")
+// errNoProgress means that a peer with a newer version sent no usable content.
+var errNoProgress = errors.New("reply contains no version newer than the held one")
 
-// pulls starts the pulls that are due.
+// runPulls starts the pulls that are due until ctx is done.
 func (d *Distributor) runPulls(ctx context.Context) {
 	for {
 		peer, wait := d.nextPull(time.Now())
@@ -58,8 +58,8 @@
 	return peer, wait
 }
 
-// pullFrom asks peer for the versions after the held one and records how that
-// went.
+// pullFrom requests the versions above the held one from peer and records the
+// result.
 func (d *Distributor) pullFrom(ctx context.Context, peer string) {
 	before := d.HeldVersion()
 	reply, err := d.request(ctx, peer, before, false, pullTimeout)
@@ -84,13 +84,13 @@
 	signal(d.wakePull)
 }
 
-// request sends Want on a new stream and reads the answer.
+// request sends Want on a new stream and reads the reply.
 func (d *Distributor) request(ctx context.Context, peer string, after sycamorerun.Version, probe bool, timeout time.Duration) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	stream, err := d.open(ctx, peer, idleTimeout)
 	if err != nil {
-		return nil, errors.Wrap(err, "open")
+		return nil, errors.Wrap(err, "open stream")
 	}
 	defer closeWith(ctx, stream)()
 	_ = stream.SetWriteDeadline(time.Now().Add(idleTimeout))
@@ -102,7 +102,7 @@
 	return readReply(idleTimeoutConn{stream})
 }
 
-// steady fails a read that waits longer than silence.
+// idleTimeoutConn fails a read that waits longer than idleTimeout.
 type idleTimeoutConn struct{ net.Conn }
 
 func (c idleTimeoutConn) Read(data []byte) (int, error) {
@@ -110,7 +110,7 @@
 	return c.Conn.Read(data)
 }
 
-// absorb takes the content of an answer.
+// acceptReply accepts the entries and the snapshot of a reply.
 func (d *Distributor) acceptReply(now time.Time, peer string, reply *Reply) error {
 	for _, packed := range reply.GetEntries() {
 		entry, err := unpackEntry(packed)
@@ -131,15 +131,15 @@
 	return d.installSnapshot(now, tree, hash, peer)
 }
 
-// takeObject applies a log object from the store. The slot must be that of
-// the entry, which shows a value written under a wrong key.
+// acceptLogObject applies a log object from the store. It fails if the key is not
+// the one of the entry's slot, since the value was then written under a wrong key.
 func (d *Distributor) acceptLogObject(now time.Time, object persister.Object) error {
 	entry, err := persister.DecodeEntry(object.Value)
 	if err != nil {
-		return errors.Wrapf(err, "decode %s", object.Key)
+		return errors.Wrapf(err, "decode log object %s", object.Key)
 	}
 	if persister.LogKey(entry.Version) != object.Key {
-		return errors.Errorf("%s holds version %s", object.Key, entry.Version)
+		return errors.Errorf("log object %s holds version %s", object.Key, entry.Version)
 	}
 	return d.accept(now, entry, object.Value, "")
 }
--- a/node/distributor/pull_scheduler.go
+++ b/node/distributor/pull_scheduler.go
@@ -9,34 +9,37 @@
 const (
 	// pullDelay is how long a node waits for a push after a Have.
 	pullDelay = 300 * time.Millisecond
-	// hedgeDelay is how long a pull may take before another peer is asked too.
+	// hedgeDelay is how long a pull may take before a hedged pull from another
+	// peer starts.
 	hedgeDelay = time.Second
 	// maxPulls bounds the pulls in flight.
 	maxPulls = 2
-	// pullRetryLeast and pullRetryMost bound the delay after a failed pull.
+	// minPullRetry and maxPullRetry bound the delay after a failed pull.
 	minPullRetry = 100 * time.Millisecond
 	maxPullRetry = 10 * time.Second
-	// idle is the longest wait when nothing is due.
+	// maxIdleWait is the wait when nothing is due.
 	maxIdleWait = time.Hour
 )
 
-// standing is what a node knows about a peer's version.
+// peerState is what this node knows about a peer's version and the pulls from it.
 type peerState struct {
 	version sycamorerun.Version
-	// due is when to pull from the peer while its version is above ours.
+	// pullDue is when to pull from the peer while its version is above the held
+	// one.
 	pullDue time.Time
-	// notBefore is the end of the delay after a failure or a busy answer.
+	// notBefore is the end of the delay after a failure or a busy reply.
 	notBefore time.Time
-	// since is when the peer's version was first known to be above ours.
+	// aheadSince is when the peer's version was first known to be above the held
+	// one.
 	aheadSince time.Time
-	// pulling is when the pull in flight began, zero when there is none.
+	// pullStarted is when the pull in flight started, or zero if there is none.
 	pullStarted time.Time
-	// asked is the peer's version when that pull began.
+	// requestedVersion is the peer's known version when that pull started.
 	requestedVersion sycamorerun.Version
 	failures         int
 }
 
-// wants decides when to pull and from whom.
+// pullScheduler decides when to pull and from which peer.
 type pullScheduler struct {
 	peers map[string]*peerState
 }
@@ -48,8 +51,8 @@
 	return s.peers[name]
 }
 
-// heard records the version of a peer. It may be lower than before: the peer
-// has restarted. The pull is due after delay.
+// observe records the version of a peer and schedules a pull after delay if it is
+// above held. The version may be lower than before if the peer has restarted.
 func (s *pullScheduler) observe(now time.Time, name string, version, held sycamorerun.Version, delay time.Duration) {
 	peer := s.peer(name)
 	if version > held {
@@ -63,8 +66,8 @@
 	peer.version = version
 }
 
-// next returns the peer to pull from at now, or how long to wait. Peers for
-// which remote is true are asked last, since their bytes cross regions.
+// next returns the peer to pull from at now, or how long to wait. Peers for which
+// remote returns true come last, since their replies cross regions.
 func (s *pullScheduler) next(now time.Time, held sycamorerun.Version, remote func(string) bool) (string, time.Duration) {
 	wait, pulls := maxIdleWait, 0
 	for _, peer := range s.peers {
@@ -97,8 +100,9 @@
 	return best, wait
 }
 
-// better prefers peers within the region, then peers without failures, then
-// the higher version, then the name so that the choice is deterministic.
+// preferred reports whether to pull from name rather than from other. It prefers
+// peers within the region, then fewer failures, then the higher version, then the
+// lower name so that the choice is deterministic.
 func (s *pullScheduler) preferred(name, other string, remote func(string) bool) bool {
 	a, b := s.peers[name], s.peers[other]
 	if isRemote := remote(name); isRemote != remote(other) {
@@ -118,8 +122,8 @@
 	peer.pullStarted, peer.requestedVersion = now, peer.version
 }
 
-// ended records a pull's answer: the peer's version, unless the peer has
-// reported another one since, and when to ask again if it has more.
+// finishPull records the reply to a pull: the peer's version, unless the peer has
+// reported another one meanwhile, and the delay before the next pull.
 func (s *pullScheduler) finishPull(now time.Time, name string, version sycamorerun.Version, retry time.Duration) {
 	peer := s.peer(name)
 	peer.pullStarted, peer.failures = time.Time{}, 0
@@ -129,7 +133,8 @@
 	peer.pullDue, peer.notBefore = now, now.Add(retry)
 }
 
-// failed delays the next pull from the peer with full jitter.
+// failPull records a failed pull and delays the next one from the peer with full
+// jitter.
 func (s *pullScheduler) failPull(now time.Time, name string, random float64) {
 	peer := s.peer(name)
 	peer.pullStarted = time.Time{}
@@ -137,7 +142,7 @@
 	peer.notBefore = now.Add(backoff(peer.failures, minPullRetry, maxPullRetry, random))
 }
 
-// keep forgets the peers that are not in names and have no pull in flight.
+// retain removes the peers that are not in names and have no pull in flight.
 func (s *pullScheduler) retain(names map[string]bool) {
 	for name, peer := range s.peers {
 		if !names[name] && peer.pullStarted.IsZero() {
@@ -146,7 +151,8 @@
 	}
 }
 
-// behind returns since when a peer has been known to be ahead of held.
+// behindSince returns the earliest time since which a peer has been known to be
+// ahead of held.
 func (s *pullScheduler) behindSince(held sycamorerun.Version) (since time.Time, ok bool) {
 	for _, peer := range s.peers {
 		if peer.version > held && (!ok || peer.aheadSince.Before(since)) {
--- a/node/distributor/queue.go
+++ b/node/distributor/queue.go
@@ -7,9 +7,9 @@
 	maxQueuedBytes  = 1 << 20
 )
 
-// queue holds what a link is about to send, bounded in frames and bytes. On
-// overflow the frames give way to one Have of the newest version, after which
-// the peer pulls at its own pace.
+// queue holds the frames that a link has yet to send, bounded in number and
+// bytes. On overflow a single Have of the newest version replaces the frames, and
+// the peer pulls at its own rate.
 type queue struct {
 	frames      [][]byte
 	bytes       int
@@ -27,14 +27,15 @@
 	q.bytes += len(frame)
 }
 
-// collapse replaces the frames by a Have of version.
+// replaceWithHave replaces the frames with a direct Have of version.
 func (q *queue) replaceWithHave(version sycamorerun.Version) {
 	*q = queue{haveVersion: max(q.haveVersion, version), haveDirect: true}
 }
 
 func (q *queue) addHave(version sycamorerun.Version) { q.haveVersion = max(q.haveVersion, version) }
 
-// next removes the oldest frame.
+// next removes and returns the oldest frame, or a pending Have after the last
+// frame.
 func (q *queue) next() ([]byte, bool) {
 	if len(q.frames) > 0 {
 		next := q.frames[0]
--- a/node/distributor/serve.go
+++ b/node/distributor/serve.go
@@ -16,34 +16,35 @@
 )
 
 const (
-	// maxServed bounds the large answers written at once.
+	// maxLargeReplies bounds the large replies written concurrently.
 	maxLargeReplies = 4
-	// largeBytes is the size above which entries count as a large answer.
+	// largeReplyBytes is the size above which entries count as a large reply.
 	largeReplyBytes = 64 << 10
-	// smallBytes is the size up to which entries are sent without packing a
-	// snapshot to compare with: the packing would cost more than it saves.
+	// smallReplyBytes is the size up to which entries are sent without comparing
+	// their size with that of a snapshot, whose encoding would cost more than it
+	// saves.
 	smallReplyBytes = 4 << 10
-	// busyRetryLeast and busyRetryMost bound the "retry after" of a busy
-	// node; the spread keeps refused peers from returning at once.
+	// minBusyRetry and maxBusyRetry bound the retry delay that a busy node
+	// returns. Its jitter keeps the refused peers from retrying simultaneously.
 	minBusyRetry = 100 * time.Millisecond
 	maxBusyRetry = 500 * time.Millisecond
-	// answerTimeout bounds the writing of one answer.
+	// replyTimeout bounds the write of a reply.
 	replyTimeout = 10 * time.Second
 )
 
-// Serve handles a stream that the peer called from has opened.
+// Serve handles the messages on a stream that the peer named by from has opened.
 func (d *Distributor) Serve(ctx context.Context, from string, stream net.Conn) {
 	defer closeWith(ctx, stream)()
 	for {
 		message, err := readMessage(stream)
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				level.Debug(d.Logger).Log("msg", "stream ended", "peer", from, "err", err)
+				level.Debug(d.Logger).Log("msg", "reading a message from the peer failed", "peer", from, "err", err)
 			}
 			return
 		}
 		if err := d.handle(ctx, from, stream, message); err != nil {
-			level.Warn(d.Logger).Log("msg", "message failed", "peer", from, "err", err)
+			level.Warn(d.Logger).Log("msg", "handling a message from the peer failed; closing the stream", "peer", from, "err", err)
 			return
 		}
 	}
@@ -66,12 +67,13 @@
 	case *Message_Survey:
 		return d.handleSurvey(ctx, stream, kind.Survey)
 	}
-	return errors.New("message of unknown kind")
+	return errors.New("unknown message kind")
 }
 
-// detour is an additional delay for a peer in another region that is linked in
-// the second tree only. The region's first member in the first tree pulls
-// first, so that the content crosses the link between the regions once.
+// crossRegionDelay returns an additional delay for pulls from a peer in another
+// region that is linked only in the second tree. The region's first member in the
+// first tree pulls first, so that the content is sent only once between the
+// regions.
 func (d *Distributor) crossRegionDelay(peer string) time.Duration {
 	extra := time.Duration(0)
 	for _, link := range d.Plan().Links {
@@ -85,9 +87,9 @@
 	return extra
 }
 
-// pushed takes an entry from a peer. A push that cannot be used makes the
-// version one to pull: from this peer when entries before it are missing, by
-// the ordinary delay when its content is damaged.
+// handlePush accepts an entry from a peer. If earlier entries are missing, it
+// schedules a pull from that peer. Damaged content is an error, and the version is
+// pulled after the usual delay once a peer announces it.
 func (d *Distributor) handlePush(now time.Time, from string, message *Push) error {
 	version := sycamorerun.Version(message.GetVersion())
 	if version <= d.HeldVersion() {
@@ -97,29 +99,29 @@
 	}
 	entry, err := unpackEntry(message.GetEntry())
 	if err == nil && entry.Version != version {
-		err = errors.Errorf("push of version %s carries %s", version, entry.Version)
+		err = errors.Errorf("push announces version %s but carries version %s", version, entry.Version)
 	}
 	if err == nil {
 		err = d.accept(now, entry, message.GetEntry().GetData(), from)
 	}
 	switch {
 	case errors.Is(err, errGap) && entry.Basis() < d.HeldVersion():
-		// Another watcher's entry that is based on this node's version may be
-		// on its way, and costs less than a snapshot.
+		// Another watcher's entry based on this node's version may still
+		// arrive, and costs less than a snapshot.
 		d.observeVersion(now, from, version, d.pullDelay())
 	case errors.Is(err, errGap):
 		d.observeVersion(now, from, version, 0)
 	case err != nil:
 		d.count("distributor_damaged", 1)
-		return errors.Wrap(err, "push")
+		return errors.Wrap(err, "apply pushed entry")
 	default:
 		d.observeVersion(now, from, version, d.pullDelay())
 	}
 	return nil
 }
 
-// answer replies to Want. Large answers beyond the limit are refused with a
-// time to wait.
+// handleWant replies to Want. Large replies beyond the concurrency limit are
+// refused with a retry delay.
 func (d *Distributor) handleWant(stream net.Conn, want *Want) error {
 	reply, large := d.buildReply(sycamorerun.Version(want.GetAfter()), want.GetProbe())
 	if large {
@@ -138,7 +140,8 @@
 	return err
 }
 
-// reply chooses between entries and a snapshot by size.
+// buildReply returns the reply to Want and whether it is large. It chooses
+// between entries and a snapshot by size.
 func (d *Distributor) buildReply(after sycamorerun.Version, probe bool) (reply *Reply, large bool) {
 	held := d.HeldVersion()
 	reply = &Reply{Version: uint64(held), Ready: d.Ready(), Watching: d.watching(time.Now())}
@@ -152,7 +155,7 @@
 		tree, hash := d.Current()
 		data, err := d.snapshotCache.get(tree, hash)
 		if err != nil {
-			level.Error(d.Logger).Log("msg", "snapshot not packed", "version", tree.Version, "err", err)
+			level.Error(d.Logger).Log("msg", "encoding the snapshot failed", "version", tree.Version, "err", err)
 		} else if tree.Version > after && (!ok || len(data) < size) {
 			reply.Version = uint64(tree.Version)
 			reply.Snapshot = pack(data)
@@ -169,7 +172,7 @@
 	return reply, size > largeReplyBytes
 }
 
-// snapshotCache keeps the stored form of the last snapshot that was asked for.
+// snapshotCache keeps the stored encoding of the last requested snapshot.
 type snapshotCache struct {
 	mutex   sync.Mutex
 	version sycamorerun.Version
@@ -189,7 +192,7 @@
 	return data, err
 }
 
-// size returns the size of the last snapshot, whatever its version.
+// size returns the size of the cached snapshot, regardless of its version.
 func (c *snapshotCache) size() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/node/distributor/store_health.go
+++ b/node/distributor/store_health.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	// failuresMost is the number of failed calls in a row after which a node
-	// counts as cut off from the store.
+	// maxStoreFailures is the number of consecutive failed calls after which a
+	// node counts as cut off from the store.
 	maxStoreFailures = 2
-	// silentWatch is the time from which on a watch that failed shows a store
-	// that is silent towards this node. A second call would take as long again,
-	// and a version must be in force before.
+	// silentWatchThreshold is the duration of a failed watch from which on the
+	// store counts as silent towards this node. Another call of that length would
+	// delay a version beyond the time at which it must be in force.
 	silentWatchThreshold = time.Second
-	// workingFor is how long a call that succeeded shows that the node reaches
-	// the store: the wait of a watch and a second for its answer.
+	// storeSuccessValidity is how long after a successful call the node counts as
+	// reaching the store: the wait of a watch and 1 s for its response.
 	storeSuccessValidity = documentWatchWait + time.Second
-	// retryLeast and retryMost bound the pause between the calls of a node that
-	// is cut off and has no role. Each retryMembers members stretch it once
-	// more, which bounds the calls of a large fleet at a store that is down.
+	// minStoreProbeDelay and maxStoreProbeDelay bound the delay between the store
+	// probes of a node that is cut off and has no role. The delay is extended by
+	// the same amount for every storeProbeMembers members, which bounds the calls
+	// of a large fleet to a store that is down.
 	minStoreProbeDelay = time.Second
 	maxStoreProbeDelay = 2 * time.Second
 	storeProbeMembers  = 32
 )
 
-// reach is what a node knows of its own calls of the store.
+// storeHealth records the results of the node's own store calls.
 type storeHealth struct {
 	mutex sync.Mutex
-	// lowest is the lowest latency of a read, zero before the first one.
+	// minLatency is the lowest latency of a read, or zero before the first one.
 	minLatency time.Duration
-	// worked is when a call succeeded last.
+	// lastSuccess is when a call last succeeded.
 	lastSuccess time.Time
 	failures    int
-	// due is when a node without a role tries again.
+	// nextProbe is when a node without a role probes the store again.
 	nextProbe         time.Time
 	publishedDistance int
 	watchRevision     persister.Revision
@@ -55,22 +56,24 @@
 	h.watchRevision = revision
 }
 
-// silent records that the store was silent for so long that the next failure
-// counts as the last one needed.
+// recordSilence records that the store was silent for so long that the next
+// failure marks the node as cut off.
 func (h *storeHealth) recordSilence() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.failures = max(h.failures, maxStoreFailures-1)
 }
 
-// failed returns the number of calls that failed in a row.
+// consecutiveFailures returns the number of calls that failed since the last
+// success.
 func (h *storeHealth) consecutiveFailures() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.failures
 }
 
-// wait returns how long a node without a role waits before it tries again.
+// probeDelay returns how long a node without a role waits before its next store
+// probe.
 func (h *storeHealth) probeDelay(now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -80,7 +83,9 @@
 	return max(0, h.nextProbe.Sub(now))
 }
 
-// distance returns what to publish.
+// distance returns the distance to publish: Unreachable for a node that is cut
+// off, 0 before the first read, and otherwise a latency bucket. The caller holds
+// the mutex.
 func (h *storeHealth) distance() int {
 	switch {
 	case h.failures >= maxStoreFailures:
@@ -91,14 +96,14 @@
 	return latencyBucket(h.minLatency)
 }
 
-// bucket groups latencies by powers of two of milliseconds, so that small
-// changes of the latency move no watcher.
+// latencyBucket groups latencies by powers of two of milliseconds, so that small
+// changes of the latency do not change the choice of watchers.
 func latencyBucket(latency time.Duration) int {
 	return bits.Len64(uint64(latency/time.Millisecond) + 1)
 }
 
-// answered records a call that the store answered. Latency is zero when the
-// call waited at the store.
+// recordStoreSuccess records a call to which the store responded. Latency is zero
+// for a call that waited in the store.
 func (d *Distributor) recordStoreSuccess(now time.Time, latency time.Duration) {
 	h := &d.storeHealth
 	h.mutex.Lock()
@@ -110,7 +115,7 @@
 	d.publishDistance(now)
 }
 
-// unanswered records a call that failed.
+// recordStoreFailure records a failed call.
 func (d *Distributor) recordStoreFailure(now time.Time) {
 	d.count("distributor_store_failures", 1)
 	factor := 1 + len(d.Peers())/storeProbeMembers
@@ -123,7 +128,8 @@
 	d.publishDistance(now)
 }
 
-// publish tells the members the distance; the caller holds the mutex of reach.
+// publishDistance publishes the distance if it has changed. The caller holds the
+// mutex of d.storeHealth.
 func (d *Distributor) publishDistance(now time.Time) {
 	if distance := d.storeHealth.distance(); distance != d.storeHealth.publishedDistance {
 		d.storeHealth.publishedDistance = distance
@@ -131,7 +137,7 @@
 	}
 }
 
-// watching reports whether this node follows the document and reaches the store.
+// watching reports whether this node watches the document and reaches the store.
 func (d *Distributor) watching(now time.Time) bool {
 	if d.Document == nil || d.watchRole(d.Plan()) != planner.Primary {
 		return false
--- a/node/distributor/survey.go
+++ b/node/distributor/survey.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	// maxLagging bounds the names in a survey's answer.
+	// maxLagging bounds each list of node names in a survey's result.
 	maxLagging = 16
-	// surveyTimeout is the time for a whole survey unless ctx ends earlier.
+	// surveyTimeout bounds a whole survey.
 	surveyTimeout = 3 * time.Second
-	// surveyMargin is what a node keeps of its time to answer in time itself.
+	// surveyMargin is the part of its time that a node reserves for its own
+	// response.
 	surveyMargin = 100 * time.Millisecond
-	// surveyFrameBytes bounds the frame of an answer.
+	// surveyFrameBytes bounds the frame of a Report.
 	surveyFrameBytes = 64 << 10
 )
 
-// Lagging is a node below the newest version.
+// LaggingNode is a node whose version in force is below the survey's target.
 type LaggingNode struct {
 	Name    string
 	Version sycamorerun.Version
 	Since   time.Time
 }
 
-// Convergence is the answer to a survey.
+// Convergence is the result of a survey.
 type Convergence struct {
 	// Target is the version below which a node counts as lagging.
 	Target sycamorerun.Version
 	Counts map[sycamorerun.Version]int
-	// Lagging lists up to 16 nodes, those that lag longest first.
+	// Lagging lists up to 16 nodes, the longest lagging first.
 	Lagging []LaggingNode
-	// Unreachable lists up to 16 nodes that did not answer; the nodes below
-	// them in the tree are not counted.
+	// Unreachable lists up to 16 nodes that did not respond. Their descendants
+	// in the tree are not counted.
 	Unreachable []string
 }
 
-// merge adds the answer of a subtree.
+// merge adds the result of a subtree.
 func (c *Convergence) merge(other Convergence) {
 	for version, count := range other.Counts {
 		c.Counts[version] += count
@@ -60,8 +61,8 @@
 	c.Unreachable = c.Unreachable[:min(len(c.Unreachable), maxLagging)]
 }
 
-// Survey counts the versions in force in the fleet: it asks the regions' first
-// members, which ask down the first tree.
+// Survey counts the versions in force in the fleet. It queries the first member
+// of each region, which queries its descendants in the first tree.
 func (d *Distributor) Survey(ctx context.Context) (Convergence, error) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
@@ -70,7 +71,7 @@
 		names = append(names, region.Name)
 	}
 	if len(names) == 0 {
-		return Convergence{}, errors.New("the plan names no regions to survey")
+		return Convergence{}, errors.New("plan contains no regions to survey")
 	}
 	target := d.HeldVersion()
 	result := Convergence{Target: target, Counts: map[sycamorerun.Version]int{}}
@@ -90,7 +91,7 @@
 	return result, nil
 }
 
-// surveyBelow surveys this node and the nodes below it.
+// surveySubtree surveys this node and its descendants.
 func (d *Distributor) surveySubtree(ctx context.Context, target sycamorerun.Version, deadline time.Time) Convergence {
 	tree, _ := d.Current()
 	result := Convergence{Target: target, Counts: map[sycamorerun.Version]int{tree.Version: 1}}
@@ -101,8 +102,8 @@
 	return result
 }
 
-// laggingSince returns since when the node has known of a newer version, or
-// now when it has just learned of it.
+// laggingSince returns when the node first knew of a version above the given one,
+// or now if no peer has reported any.
 func (d *Distributor) laggingSince(now time.Time, version sycamorerun.Version) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -112,7 +113,7 @@
 	return now
 }
 
-// surveyAll asks the named nodes at once and adds their answers.
+// surveyPeers queries the named nodes concurrently and merges their reports.
 func (d *Distributor) surveyPeers(ctx context.Context, result *Convergence, names []string, target sycamorerun.Version, deadline time.Time) {
 	var group sync.WaitGroup
 	var mutex sync.Mutex
@@ -139,7 +140,7 @@
 	}
 	stream, err := d.Open(ctx, name, Kind)
 	if err != nil {
-		return Convergence{}, errors.Wrap(err, "open")
+		return Convergence{}, errors.Wrap(err, "open stream")
 	}
 	defer closeWith(ctx, stream)()
 	request := &Message{Kind: &Message_Survey{Survey: &Survey{
--- a/node/distributor/targets.go
+++ b/node/distributor/targets.go
@@ -2,20 +2,20 @@
 
 import "sycamorerun/node/planner"
 
-// target is what one peer is told about a new version.
+// target is a peer to notify of a new version, and how.
 type target struct {
 	peer string
-	// push sends the content, otherwise Have is sent.
+	// push selects a push of the content instead of a Have.
 	push bool
-	// direct tells the peer that nobody is going to push the content.
+	// direct tells the peer that no push of the content will follow.
 	direct bool
 }
 
-// targets decides who is told about a version that came from source. The
-// content goes down the first tree and Have down the second one. Peers in
-// other regions and the parent in the first tree get Have, unless they are
-// the source: the version usually reaches them by their own watch or parent.
-// Without content, after a snapshot, Have takes the place of the push.
+// targets returns the peers to notify of a version that came from source. The
+// content is pushed down the first tree, and Have is sent down the second one.
+// Peers in other regions and the parent in the first tree get only Have, since
+// the version usually reaches them through their own watch or parent. Source gets
+// nothing. Without content, as after a snapshot, a direct Have replaces the push.
 func targets(links []planner.Link, source string, content bool) []target {
 	var result []target
 	index := map[string]int{}
@@ -37,8 +37,8 @@
 	return result
 }
 
-// peers returns the distinct peers of links; the value tells whether the peer
-// is in another region.
+// linkedPeers returns the distinct peers of links, mapped to whether the peer is in
+// another region.
 func linkedPeers(links []planner.Link) map[string]bool {
 	result := map[string]bool{}
 	for _, link := range links {
@@ -47,7 +47,7 @@
 	return result
 }
 
-// children returns the peers below a node in the first tree.
+// children returns the names of a node's children in the first tree.
 func children(links []planner.Link) []string {
 	var result []string
 	for _, link := range links {
--- a/node/distributor/watch.go
+++ b/node/distributor/watch.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// watchTimeout replaces a watch whose connection has gone silent.
+	// watchTimeout bounds a watch, so that one on a silent connection is replaced.
 	watchTimeout = 30 * time.Second
-	// storeTimeout bounds the other calls, for a store that is slow.
+	// storeTimeout bounds the other calls to a slow store.
 	storeTimeout = 5 * time.Second
-	// storeRetryLeast and storeRetryMost bound the delay after a failed call.
+	// minStoreRetry and maxStoreRetry bound the delay after a failed call.
 	// The upper bound leaves 2 s of the 7 s within which a change is due.
 	minStoreRetry = 100 * time.Millisecond
 	maxStoreRetry = 5 * time.Second
-	// emptyPause keeps a store that answers each watch at once with nothing
-	// from being asked in a busy loop.
+	// emptyWatchPause prevents a busy loop when the store returns from each watch
+	// immediately without any object.
 	emptyWatchPause = 100 * time.Millisecond
-	// maxSyncs bounds the attempts to overtake a log that is moving on.
+	// maxSyncAttempts bounds the attempts to read a log that is being written.
 	maxSyncAttempts = 3
 )
 
 var (
 	// errStale means that the store's log ends before a version that this
 	// node holds.
-	errStale      = errors.New("store answers with older data than the node holds")
-	errLogTooFast = errors.New("log moves on faster than it can be read")
+	errStale      = errors.New("store returned older data than this node holds")
+	errLogTooFast = errors.New("log grows faster than it can be read")
 )
 
-// watchLevels are the values of the metric for the role.
+// watchGaugeValues are the values of the distributor_watch gauge by role.
 var watchGaugeValues = map[planner.Watch]float64{planner.None: 0, planner.Standby: 1, planner.Primary: 2}
 
-// watchRole is the role in the plan. A node that is starting and knows no peer
-// yet ranks first among nobody and does not watch: after a mass restart each
-// node would read the whole log.
+// watchRole returns the node's role in watching the store. A node that is starting
+// and knows no peers yet is the only member of its plan and would be the primary.
+// It does not watch, since after a mass restart each node would read the whole log.
 func (d *Distributor) watchRole(plan planner.Plan) planner.Watch {
 	switch {
 	case d.Document != nil:
@@ -57,7 +57,7 @@
 	return plan.Watch
 }
 
-// watch follows the store in the role that the plan gives this node.
+// watchLog watches the log in the role that the plan gives this node.
 func (d *Distributor) watchLog(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -83,7 +83,8 @@
 	}
 }
 
-// beginWatch returns the role and a context that ends when the role changes.
+// startWatch returns the node's role and a context that is canceled when the role
+// changes.
 func (d *Distributor) startWatch(ctx context.Context) (planner.Watch, context.Context) {
 	role := d.watchRole(d.Plan())
 	d.mutex.Lock()
@@ -99,7 +100,8 @@
 	return role, ctx
 }
 
-// follow watches the log until an error. Worked is called after each answer.
+// followLog watches the log until an error occurs. It calls onSuccess after each
+// successful call.
 func (d *Distributor) followLog(ctx context.Context, role planner.Watch, onSuccess func()) error {
 	keysOnly := role == planner.Standby
 	after, synced, err := d.startRevision(ctx, keysOnly)
@@ -135,7 +137,8 @@
 	return ctx.Err()
 }
 
-// watchOnce is one store call. The end of its own timeout is an empty answer.
+// watchLogOnce makes a single watch call to the store. If the call reaches
+// watchTimeout, the result is empty.
 func (d *Distributor) watchLogOnce(ctx context.Context, after persister.Revision, keysOnly bool) (persister.Listing, error) {
 	callCtx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
@@ -147,8 +150,8 @@
 	return listing, err
 }
 
-// observe takes the objects of a watch. It returns the revision to continue
-// from and false when versions are missing and the log is to be read.
+// acceptListing accepts the objects of a watch. It returns the revision to continue
+// from, and false if versions are missing and the log must be read.
 func (d *Distributor) acceptListing(ctx context.Context, listing persister.Listing, keysOnly bool) (persister.Revision, bool) {
 	after := listing.Revision
 	var newest sycamorerun.Version
@@ -171,8 +174,9 @@
 	return after, newest <= d.HeldVersion()
 }
 
-// slotVersion returns the version that a write to a slot means for a node that
-// holds version held: the one of the slot's rounds that is nearest to it.
+// slotVersion returns the version that a write to a log slot implies. The log wraps
+// around, so a slot has many possible versions; the nearest one to held is
+// returned.
 func slotVersion(key string, held sycamorerun.Version) sycamorerun.Version {
 	slot, err := strconv.ParseUint(strings.TrimPrefix(key, persister.LogPrefix), 10, 64)
 	if err != nil || slot >= persister.RingSlots {
@@ -188,9 +192,9 @@
 	return version
 }
 
-// begin returns the revision to watch from and whether the log has been read.
-// A standby reads the slot of its version alone, which is enough unless the
-// history of a watch no longer reaches back to it.
+// startRevision returns the revision to watch from and whether the log has been
+// read. A standby reads only the slot of its version, which is sufficient unless
+// the watch history has been compacted beyond it.
 func (d *Distributor) startRevision(ctx context.Context, keysOnly bool) (after persister.Revision, synced bool, err error) {
 	if held := d.HeldVersion(); keysOnly && held > 0 {
 		after, wrapped, err := d.entryRevision(ctx, held)
@@ -202,23 +206,23 @@
 	return after, true, err
 }
 
-// anchor returns the revision at which version was written, or true when its
-// slot has been written over.
+// entryRevision returns the revision at which version was written, or true if its
+// slot has been overwritten.
 func (d *Distributor) entryRevision(ctx context.Context, version sycamorerun.Version) (persister.Revision, bool, error) {
 	entry, revision, err := d.readEntry(ctx, version)
 	switch {
 	case errors.Is(err, persister.ErrMissing):
-		return 0, false, errors.Wrapf(errStale, "version %s is missing", version)
+		return 0, false, errors.Wrapf(errStale, "log has no entry of version %s", version)
 	case err != nil:
 		return 0, false, err
 	case entry.Version < version:
-		return 0, false, errors.Wrapf(errStale, "slot of version %s holds %s", version, entry.Version)
+		return 0, false, errors.Wrapf(errStale, "slot of version %s holds version %s", version, entry.Version)
 	}
 	return revision, entry.Version > version, nil
 }
 
-// sync reads what the log holds above the node's version, or the snapshot when
-// the log has wrapped, and returns the revision to watch from.
+// syncLog reads the log above the held version, or the snapshot if the log has
+// wrapped, and returns the revision to watch from.
 func (d *Distributor) syncLog(ctx context.Context) (persister.Revision, error) {
 	for range maxSyncAttempts {
 		var after persister.Revision
@@ -246,8 +250,8 @@
 	return 0, errLogTooFast
 }
 
-// readLog applies the log objects written after a revision in the order of
-// their versions. It returns false when versions are missing.
+// readLog applies the log objects written after a revision in the order in which
+// they were written. It returns false if versions are missing.
 func (d *Distributor) readLog(ctx context.Context, after persister.Revision) (persister.Revision, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -274,8 +278,7 @@
 	return revision, true, nil
 }
 
-// readSnapshot installs the stored snapshot when it is newer than the node's
-// version.
+// readSnapshot installs the stored snapshot if it is newer than the held version.
 func (d *Distributor) readSnapshot(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/node/distributor/wire.go
+++ b/node/distributor/wire.go
@@ -13,7 +13,7 @@
 	"sycamorerun/persister"
 )
 
-// frameBytes bounds a frame: the largest stored value and its envelope.
+// maxFrameBytes bounds a frame: the largest stored value and its envelope.
 const maxFrameBytes = persister.ValueBytes + 64<<10
 
 var errChecksum = errors.New("content does not match its checksum")
@@ -48,11 +48,11 @@
 	return &Message{Kind: &Message_Want{Want: &Want{After: uint64(after), Probe: probe}}}
 }
 
-// frame encodes message once, so that many links can share the bytes.
+// encodeFrame encodes message once, so that several links can share the bytes.
 func encodeFrame(message proto.Message) []byte {
 	var buffer bytes.Buffer
 	if _, err := encoder.Write(&buffer, message); err != nil {
-		panic(errors.Wrap(err, "a generated message can be encoded"))
+		panic(errors.Wrap(err, "encode message"))
 	}
 	return buffer.Bytes()
 }
