--- a/node/distributor/bench_test.go
+++ b/node/distributor/bench_test.go
@@ -15,7 +15,8 @@
 	"sycamorerun/validator"
 )
 
-// large returns a tree of the two-year size: 430 services and 900 routes.
+// largeTree returns the items of a tree of the size expected in two years: 430
+// services and 900 routes.
 func largeTree() map[sycamorerun.Path]sycamorerun.Item {
 	items := map[sycamorerun.Path]sycamorerun.Item{}
 	put := func(i int, kind, name string, value any) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// BenchmarkChange is the processor time of one change on one node, from the
+// BenchmarkChange measures the processor time of one change on one node, from the
 // received frame to the frame for its children, without and with validation.
 func BenchmarkChange(b *testing.B) {
 	b.Run("plain", func(b *testing.B) { benchmarkChange(b, nil) })
@@ -101,7 +102,7 @@
 	b.ReportMetric(float64(len(encodeFrame(newHave(1<<20, false)))), "bytes/have")
 }
 
-// BenchmarkFrame is the processor time to encode one push.
+// BenchmarkFrame measures the processor time to encode one push.
 func BenchmarkFrame(b *testing.B) {
 	data, _ := persister.EncodeEntry(change(sycamorerun.Tree{Version: 1, Items: largeTree()}, 1))
 	for b.Loop() {
@@ -109,7 +110,7 @@
 	}
 }
 
-// BenchmarkSnapshot is the processor time to pack a snapshot and its size.
+// BenchmarkSnapshot measures the processor time to encode a snapshot and its size.
 func BenchmarkSnapshot(b *testing.B) {
 	tree := sycamorerun.Tree{Version: 1, Items: largeTree()}
 	size, plain := 0, 0
@@ -124,7 +125,7 @@
 	b.ReportMetric(float64(plain), "bytes/tree")
 }
 
-// BenchmarkHeldTree is the memory that a tree and its table keep.
+// BenchmarkHeldTree measures the memory that a tree and its routing table retain.
 func BenchmarkHeldTree(b *testing.B) {
 	data, _ := persister.EncodeSnapshot(sycamorerun.Tree{Version: 1, Items: largeTree()}, differ.Hash(largeTree()))
 	heap := func() float64 {
--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -228,7 +228,7 @@
 // Ready reports whether Bootstrap has completed.
 func (d *Distributor) Ready() bool { return d.ready.Load() }
 
-// ApplyCommitted takes an entry that this node committed to the store.
+// ApplyCommitted applies an entry that this node committed to the store.
 func (d *Distributor) ApplyCommitted(now time.Time, entry sycamorerun.Entry) {
 	data, err := persister.EncodeEntry(entry)
 	if err == nil {
--- a/node/distributor/distributor_test.go
+++ b/node/distributor/distributor_test.go
@@ -25,7 +25,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// solo returns a node without peers or a store, and its applier.
+// newIsolatedNode returns a node without peers or a store, and its applier.
 func newIsolatedNode() (*Distributor, *applier.Applier) {
 	d, a := New(), &applier.Applier{}
 	d.Current = func() (sycamorerun.Tree, sycamorerun.Hash) { return a.Current().Tree, a.Current().Hash }
@@ -34,8 +34,9 @@
 	return d, a
 }
 
-// TestWants guards against a pull storm, a pull across regions while a near
-// peer has the version, and a version that is never pulled.
+// TestPullScheduler guards against too many concurrent pulls, a pull from another
+// region while a peer within the region has the version, and a version that is
+// never pulled.
 func TestPullScheduler(t *testing.T) {
 	type step struct {
 		at   time.Duration
@@ -106,7 +107,8 @@
 	}
 }
 
-// TestTargets guards against content sent twice to a node or across regions.
+// TestTargets guards against content that is pushed to a node twice or to another
+// region.
 func TestTargets(t *testing.T) {
 	links := []planner.Link{
 		{Name: "up", Tree: 0, Role: planner.RoleParent},
@@ -131,8 +133,8 @@
 	}
 }
 
-// TestQueue guards against a slow link that takes memory without bound, and
-// against an overflow after which the peer is not told what it lacks.
+// TestQueue guards against unbounded memory use by a slow link, and against an
+// overflow after which the peer is not notified of the newest version.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, content := queue{}, make([]byte, maxQueuedBytes)
@@ -164,20 +166,20 @@
 			q.addPush(last, content[:size])
 			sent++
 			if len(q.frames) > maxQueuedFrames || q.bytes > maxQueuedBytes {
-				t.Fatalf("%d frames, %d bytes", len(q.frames), q.bytes)
+				t.Fatalf("queue holds %d frames and %d bytes, more than its limits", len(q.frames), q.bytes)
 			}
 		}
 		for range sent + 1 {
 			drain()
 		}
 		if received != last {
-			t.Fatalf("peer at %s, last is %s", received, last)
+			t.Fatalf("peer received version %s, last queued version is %s", received, last)
 		}
 	})
 }
 
-// TestRing guards against an answer with a gap and against memory without
-// bound.
+// TestEntryCache guards against replies with a gap and against unbounded memory
+// use.
 func TestEntryCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c entryCache
@@ -186,22 +188,22 @@
 			last += sycamorerun.Version(rapid.SampledFrom([]int{1, 1, 1, 1, 1, 1, 7}).Draw(t, "step"))
 			c.add(last, last-1, make([]byte, rapid.SampledFrom([]int{1, 1000, maxCachedBytes / 4, maxCachedBytes}).Draw(t, "size")))
 			if c.bytes > maxCachedBytes || len(c.entries) > maxCachedEntries {
-				t.Fatalf("%d bytes, %d entries", c.bytes, len(c.entries))
+				t.Fatalf("cache holds %d bytes and %d entries, more than its limits", c.bytes, len(c.entries))
 			}
 		}
 		after := sycamorerun.Version(rapid.IntRange(0, int(last)).Draw(t, "after"))
 		entries, _, ok := c.after(after)
 		if ok && sycamorerun.Version(len(entries)) != last-after {
-			t.Fatalf("%d entries after %s of %s", len(entries), after, last)
+			t.Fatalf("got %d entries after version %s, newest is %s", len(entries), after, last)
 		}
 		if _, held := c.get(after + 1); held != ok && after < last {
-			t.Fatalf("get %v, after %v", held, ok)
+			t.Fatalf("get found the next entry: %v, after found it: %v", held, ok)
 		}
 	})
 }
 
-// TestSlotVersion guards against a standby that takes an old slot for a new
-// version or the reverse.
+// TestSlotVersion guards against a standby that mistakes an old version in a slot
+// for a new one or the reverse.
 func TestSlotVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		held := rapid.Uint64Range(0, 1<<40).Draw(t, "held")
@@ -209,13 +211,13 @@
 		version -= min(version, persister.RingSlots/2-1)
 		got := slotVersion(persister.LogKey(sycamorerun.Version(version)), sycamorerun.Version(held))
 		if got != sycamorerun.Version(version) {
-			t.Fatalf("version %d at %d became %s", version, held, got)
+			t.Fatalf("slot of version %d, held version %d: got version %s", version, held, got)
 		}
 	})
 }
 
-// TestReply guards against an answer larger than needed, and against one that
-// leaves a gap after a snapshot.
+// TestReply guards against a reply that is larger than necessary, and against one
+// that leaves a gap after a snapshot.
 func TestReply(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
@@ -240,7 +242,8 @@
 	is.Equal(entry.Version, sycamorerun.Version(150))
 }
 
-// TestBusy guards against a herd of pulls that takes all of a node's memory.
+// TestLargeReplyLimit guards against many simultaneous pulls that exhaust a node's
+// memory.
 func TestLargeReplyLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
@@ -270,13 +273,13 @@
 			_ = stream.Close()
 		}
 		if served != maxLargeReplies || busy != 20-maxLargeReplies {
-			t.Errorf("%d served, %d busy", served, busy)
+			t.Errorf("%d pulls served, %d refused as busy", served, busy)
 		}
 	})
 }
 
-// TestSilentPeers guards against pulls from stalled peers that keep a node from
-// a peer that answers until the change is overdue.
+// TestSilentPeers guards against pulls from stalled peers that delay the pull from
+// a responding peer until the change is overdue.
 func TestSilentPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
@@ -302,13 +305,13 @@
 		d.ObserveHeartbeat("answering", 5)
 		time.Sleep(2 * time.Second)
 		if version := a.Current().Tree.Version; version != 5 {
-			t.Errorf("version %s", version)
+			t.Errorf("version %s in force, want 5", version)
 		}
 	})
 }
 
-// TestAlone guards against a store that is read in full by each node of a fleet
-// that restarts, before the nodes know each other.
+// TestBootstrapWithoutPeers guards against a fleet restart in which each node reads
+// the whole log before the nodes know each other.
 func TestBootstrapWithoutPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
@@ -321,7 +324,7 @@
 		time.Sleep(peerDiscoveryDelay - time.Millisecond)
 		store.update(func() {
 			if store.cost.calls != 0 {
-				t.Errorf("%d store calls", store.cost.calls)
+				t.Errorf("%d store calls before the peer discovery delay ended", store.cost.calls)
 			}
 		})
 		time.Sleep(5 * time.Second)
@@ -333,8 +336,8 @@
 	})
 }
 
-// TestRefused guards against a node that stops at a version that it refuses:
-// the version after it takes force, and the refused one is passed on.
+// TestRefused guards against a node that gets stuck at a version that it refuses.
+// Later versions must take force, and the refused entry must be forwarded.
 func TestRefused(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
@@ -356,9 +359,9 @@
 	is.True(ok)
 }
 
-// TestOld guards against late copies that take a node back behind a version
-// that it refused or are passed on again, and against a gap that looks like
-// damage, for which nobody would be asked again.
+// TestOutdatedContent guards against late duplicates that return a node to a
+// version before the one that it refused or that are forwarded again, and against
+// a gap reported as damage, after which no pull would follow.
 func TestOutdatedContent(t *testing.T) {
 	cases := map[string]struct {
 		offer func(d *Distributor, store *fakeStore, entries []sycamorerun.Entry) error
@@ -392,7 +395,7 @@
 			err := c.offer(d, store, entries)
 			is.True(errors.Is(err, c.err))
 			is.Equal(d.HeldVersion(), sycamorerun.Version(3))
-			is.Equal(len(d.wakePull), 0) // nothing was passed on
+			is.Equal(len(d.wakePull), 0) // nothing was forwarded
 			a.Validate = nil
 			d.ApplyCommitted(start, entries[3])
 			is.Equal(a.Current().Hash, store.hashes[4])
@@ -400,8 +403,8 @@
 	}
 }
 
-// TestStaleLog guards against a node that follows a store which lost what the
-// node has in force, as if the newer versions had never been.
+// TestStaleLog guards against a node that continues to watch a store which has lost
+// the version that the node has in force.
 func TestStaleLog(t *testing.T) {
 	older, _ := persister.EncodeEntry(sycamorerun.Entry{Version: 7})
 	same, _ := persister.EncodeEntry(sycamorerun.Entry{Version: 7 + persister.RingSlots})
@@ -432,9 +435,8 @@
 	}
 }
 
-// TestDamaged guards against content that was changed on its way taking force,
-// including a change of the version alone, which the tree's hash does not
-// cover.
+// TestDamaged guards against content that was corrupted in transit and still takes
+// force, including a changed version number, which the tree's hash does not cover.
 func TestDamaged(t *testing.T) {
 	store := newStore()
 	entry := store.nextEntry()
@@ -460,8 +462,8 @@
 	}
 }
 
-// FuzzServe guards against input from a peer that panics, hangs or puts a
-// version in force that is not the accepted one.
+// FuzzServe guards against peer input that causes a panic or a hang, or that puts
+// content in force that was never accepted.
 func FuzzServe(f *testing.F) {
 	store := newStore()
 	var frames []byte
--- a/node/distributor/document_fleet_test.go
+++ b/node/distributor/document_fleet_test.go
@@ -12,8 +12,7 @@
 	"sycamorerun/persister"
 )
 
-// fault is what a member's store does instead of answering, or the member
-// itself.
+// fault is a failure of a member or of the store as seen by that member.
 type fault string
 
 const (
@@ -24,9 +23,10 @@
 	killed  fault = "killed"
 )
 
-// follow returns the document as seen from a member that is delay away.
+// newDocument returns the document as seen by a member with a network delay to the
+// store.
 func (f *fleet) newDocument(m *member, delay time.Duration) *Document {
-	// wait looks for a revision above after for some time.
+	// wait polls for a revision above after until limit.
 	wait := func(ctx context.Context, after persister.Revision, limit time.Duration) (sycamorerun.Tree, persister.Revision, error) {
 		f.store.update(func() { f.store.cost.calls++ })
 		for begin := time.Now(); sleep(ctx, delay); {
@@ -68,7 +68,7 @@
 	}
 }
 
-// order returns the watchers and their deputies.
+// watchOrder returns the planned watchers followed by their deputies.
 func (f *fleet) watchOrder() []string {
 	plan := planner.New("node-00", f.instances(), f.options)
 	return slices.Concat(plan.Watchers, plan.Deputies)
@@ -81,13 +81,14 @@
 	return all
 }
 
-// until returns how long it takes until reached, or fails after a bound.
+// waitUntil waits until reached returns true and logs the time that it took. The
+// test fails after bound.
 func waitUntil(t *testing.T, what string, bound time.Duration, reached func() bool) {
 	t.Helper()
 	begin := time.Now()
 	for !reached() {
 		if time.Since(begin) > bound {
-			t.Fatalf("not %s after %s", what, bound)
+			t.Fatalf("not %s within %s", what, bound)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -100,7 +101,7 @@
 	}
 }
 
-// watched reports whether a healthy member watches the store.
+// storeWatched reports whether a healthy member watches the store.
 func (f *fleet) storeWatched() bool {
 	return slices.ContainsFunc(f.names(), func(name string) bool {
 		m := f.members[name]
@@ -123,8 +124,8 @@
 	})
 }
 
-// The targets: a version in force everywhere, the same while the store fails
-// for some members, and a working watcher.
+// Time limits: for a version to be in force on all members, for the same while
+// the store fails for some of them, and for a healthy member to watch the store.
 const (
 	convergeBound = 2500 * time.Millisecond
 	impairedBound = 7500 * time.Millisecond
@@ -132,7 +133,7 @@
 )
 
 // TestTakeover guards against a fleet without a working watcher, and against a
-// version that comes late, after some of the first members in the order fail.
+// delayed version, after watchers or deputies fail.
 func TestTakeover(t *testing.T) {
 	type failing struct {
 		fault    fault
@@ -166,8 +167,8 @@
 	}
 }
 
-// TestDocumentFleet guards against a start that takes too long or that ends
-// without a version, and against traffic and calls without need.
+// TestDocumentFleet guards against a start that takes too long or completes without
+// a version, and against unnecessary traffic and store calls.
 func TestDocumentFleet(t *testing.T) {
 	cases := map[string]func(t *testing.T, f *fleet){
 		"cold start": func(t *testing.T, f *fleet) {
@@ -175,7 +176,7 @@
 			waitUntil(t, "ready", 2*time.Second, f.allReady(f.names()...))
 			// Each watcher reads and watches once; the others read nothing.
 			if calls := f.cost().calls; calls > 2*3 {
-				t.Errorf("%d calls", calls)
+				t.Errorf("%d store calls during a cold start", calls)
 			}
 		},
 		"cold start, a third rejected": func(t *testing.T, f *fleet) {
@@ -188,7 +189,7 @@
 			f.start(f.names()...)
 			time.Sleep(10 * time.Second)
 			if slices.ContainsFunc(f.names(), func(name string) bool { return f.allReady(name)() }) {
-				t.Error("ready without a version")
+				t.Error("member is ready without a version")
 			}
 			f.fail(healthy, f.names()...)
 			waitUntil(t, "ready", impairedBound, f.allReady(f.names()...))
@@ -201,7 +202,7 @@
 			f.kill(last)
 			f.start(last)
 			waitUntil(t, "ready", time.Second, f.allReady(last))
-			// The other members count as starting too.
+			// The other members report that they are starting too.
 			f.kill(last)
 			for _, name := range f.names() {
 				f.members[name].process.Load().ready.Store(false)
@@ -219,9 +220,10 @@
 			}
 			t.Log("in force", mustConverge(t, f, 118, convergeBound))
 			time.Sleep(5 * time.Second)
-			// A member may get an entry of about 100 bytes twice, no snapshot.
+			// A member may receive an entry of about 100 bytes twice, but no
+			// snapshot.
 			if spent := f.cost().since(before, 15); spent.sent > 14*2*150 {
-				t.Errorf("%d bytes a version", spent.sent)
+				t.Errorf("%d bytes sent per version", spent.sent)
 			}
 		},
 		"store comes back": func(t *testing.T, f *fleet) {
@@ -231,10 +233,10 @@
 			time.Sleep(20 * time.Second)
 			before := f.cost()
 			time.Sleep(10 * time.Second)
-			// 11 members without a role call at most once a second, the 3 with
-			// one twice on average.
+			// Each of the 11 members without a role makes at most one call a second,
+			// each of the 3 with a role two on average.
 			if calls := f.cost().calls - before.calls; calls > 10*(11+2*3) {
-				t.Errorf("%d calls", calls)
+				t.Errorf("%d store calls in 10 s while the store is down", calls)
 			}
 			f.fail(healthy, f.names()...)
 			f.store.writeDocument(20)
--- a/node/distributor/document_test.go
+++ b/node/distributor/document_test.go
@@ -16,7 +16,8 @@
 	"sycamorerun/persister"
 )
 
-// edit writes a version of the document, in which one of 300 services changes.
+// writeDocument writes a version of the document, in which one of 300 services
+// changes.
 func (s *fakeStore) writeDocument(version sycamorerun.Version) (tree sycamorerun.Tree) {
 	put := map[sycamorerun.Path]sycamorerun.Item{"quoting/service/desk": sycamorerun.Item(fmt.Sprintf(`{"slots":%d}`, version))}
 	s.update(func() {
@@ -31,9 +32,9 @@
 	return tree
 }
 
-// TestChain guards against a node that goes back, that puts a version in force
-// in part, or that makes the nodes below it pull a snapshot, when watchers
-// build on different versions.
+// TestEntryChain guards against a node that returns to an older version, applies a
+// version partially, or makes the nodes below it pull a snapshot, when entries of
+// several watchers are based on different versions.
 func TestEntryChain(t *testing.T) {
 	s, trees := newStore(), map[sycamorerun.Version]sycamorerun.Tree{}
 	for _, version := range []sycamorerun.Version{3, 7, 12, 20} {
@@ -70,7 +71,7 @@
 			for _, version := range c.held {
 				is.NoErr(d.acceptDocument(start, trees[version]))
 			}
-			is.NoErr(d.acceptDocument(start, trees[3])) // a stale answer of the store
+			is.NoErr(d.acceptDocument(start, trees[3])) // a stale response of the store
 			failed := false
 			for _, e := range c.entries {
 				data, _ := persister.EncodeEntry(e)
@@ -82,7 +83,7 @@
 				is.Equal(newest.Version, c.want)
 			}
 			is.Equal(differ.Hash(a.Current().Tree.Items), s.hashes[c.want])
-			// A node at the first version gets entries that lead to the newest.
+			// A node at the first version receives entries up to the newest.
 			is.NoErr(follower.acceptDocument(start, trees[c.held[0]]))
 			reply, _ := d.buildReply(c.held[0], false)
 			is.True(reply.GetSnapshot() == nil)
@@ -92,8 +93,8 @@
 	}
 }
 
-// TestWatchDocument guards against a watch that ends, loops without a pause or
-// misses a version after any answer of the store.
+// TestWatchDocument guards against a watch that ends, runs in a busy loop or misses
+// a version after any response of the store.
 func TestWatchDocument(t *testing.T) {
 	type answer struct {
 		version sycamorerun.Version
@@ -113,13 +114,13 @@
 		"gap":         {answers{two}, answers{nine}, 9, time.Second, 4, 1},
 		"stale watch": {answers{two}, answers{{version: 1}, nine}, 9, time.Second, 5, 1},
 		"compacted":   {answers{two, nine}, answers{compacted}, 9, time.Second, 5, 1},
-		// Two reads and two watches in each round, and 1 s between two rounds.
+		// Each round has two reads and two watches and is followed by a delay of 1 s.
 		"compacted forever": {answers{two}, slices.Repeat(answers{compacted}, 100), 2, 10 * time.Second, 48, 1},
 		"stale read":        {answers{two, {version: 1}}, answers{compacted, nine}, 9, time.Second, 6, 1},
 		"unavailable":       {answers{two}, answers{unavailable, nine}, 9, time.Second, 5, 1},
 		"down":              {answers{two}, slices.Repeat(answers{unavailable}, 100), 2, 10 * time.Second, 60, sycamorerun.Unreachable},
 		"silent connection": {answers{two}, answers{silent, nine}, 9, 5 * time.Second, 5, 1},
-		// The second watch is still waiting.
+		// The second watch has not ended yet.
 		"silent store":    {answers{two}, answers{silent, silent}, 2, 5 * time.Second, 5, sycamorerun.Unreachable},
 		"never answering": {answers{silent, silent, nine}, nil, 9, 10 * time.Second, 7, 1},
 		"no document yet": {answers{missing, missing, nine}, nil, 9, 3 * time.Second, 10, 1},
@@ -163,7 +164,7 @@
 				time.Sleep(documentPeerWait + documentPeerWait/2 + documentRoundPause + c.within)
 				synctest.Wait()
 				if held := a.Current().Tree.Version; held != c.want || calls > c.calls || distance != c.distance {
-					t.Errorf("version %s, %d calls, distance %d", held, calls, distance)
+					t.Errorf("version %s in force after %d store calls, distance %d", held, calls, distance)
 				}
 			})
 		})
--- a/node/distributor/fallback_test.go
+++ b/node/distributor/fallback_test.go
@@ -9,9 +9,9 @@
 	"sycamorerun/node/planner"
 )
 
-// Guards against a node that stays behind for as long as it takes to declare
-// its parent failed, against one that asks around without need, and against a
-// herd of nodes without parents that reads the store each second.
+// TestFallback guards against a node that lacks new versions until its parent is
+// detected as failed, against unnecessary requests to other peers, and against
+// many nodes with silent parents that all read the store each second.
 func TestFallback(t *testing.T) {
 	start := time.Unix(1000, 0)
 	links := []planner.Link{
@@ -53,7 +53,8 @@
 	}
 }
 
-// Guards against a new parent that counts as silent before it could speak.
+// TestNewParentIsNotSilent guards against a new parent that counts as silent before
+// it could send a heartbeat.
 func TestNewParentIsNotSilent(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
--- a/node/distributor/fleet_scenarios_test.go
+++ b/node/distributor/fleet_scenarios_test.go
@@ -14,16 +14,16 @@
 	"sycamorerun/node/planner"
 )
 
-// bound is the time within which a change is due everywhere.
+// dueBound is the time within which a change must be in force on all nodes.
 const dueBound = 7 * time.Second
 
-// undetected is the time for the delays of standby and pulls, long before a
-// failure is detected and the plan changes.
+// undetectedBound allows for the delays of standbys and pulls. It ends long before
+// a failure is detected and the plan changes.
 const undetectedBound = 2500 * time.Millisecond
 
-// TestScenarios guards against a fault that keeps an accepted version from a
-// node, or that lets a node go back, be ready too early or cost a call or
-// content more than the design allows.
+// TestScenarios guards against faults after which a node misses an accepted
+// version, returns to an older one, becomes ready too early, or causes more store
+// calls or traffic than designed.
 func TestScenarios(t *testing.T) {
 	cases := map[string]struct {
 		size int
@@ -50,7 +50,7 @@
 						f.kill(only)
 					}
 					f.store.commit(1)
-					// Before the plan changes, 6 s after the failure.
+					// The plan changes 6 s after the failure.
 					t.Log(mustConverge(t, f, 4, 4500*time.Millisecond))
 					return
 				}
@@ -98,7 +98,7 @@
 			for version := range sycamorerun.Version(50) {
 				f.store.commit(1)
 				if took := mustConverge(t, f, 4+version, dueBound); took > 100*time.Millisecond {
-					t.Errorf("took %s", took)
+					t.Errorf("version took %s to converge", took)
 				}
 			}
 			f.update(func() { stalled.stalled = false })
@@ -125,7 +125,8 @@
 			f.store.commit(40)
 			f.store.update(func() { f.store.down, f.store.compacted = false, f.store.revision })
 			mustConverge(t, f, 43, 12*time.Second)
-			// Writes under other keys move the history beyond the whole log.
+			// Writes under other keys advance the compaction beyond the whole
+			// log.
 			f.store.update(func() { f.store.down = true })
 			time.Sleep(time.Minute)
 			f.store.update(func() {
@@ -142,7 +143,7 @@
 			f.store.commit(1)
 			time.Sleep(2 * time.Second)
 			if f.members[standby].version() != 44 {
-				t.Error("the standby does not watch")
+				t.Error("standby did not receive the version from its watch")
 			}
 		}},
 		"zone cut off while the log wraps": {24, func(t *testing.T, f *fleet) {
@@ -194,7 +195,7 @@
 					t.Errorf("%s is not ready", name)
 				}
 			}
-			// One read for each node, and a few for each of the 6 watchers.
+			// One read for each node, and a few more for each of the 6 watchers.
 			if spent := f.cost().since(before, 1); spent.calls > 60+6*12 {
 				t.Errorf("%d store calls", spent.calls)
 			}
@@ -229,14 +230,14 @@
 			mustConverge(t, f, 4, dueBound)
 			answer, err := asked.Survey(context.Background())
 			if err != nil || answer.Target != 4 || answer.Counts[4] != 58 || !slices.Equal(answer.Unreachable, leaves[:2]) {
-				t.Errorf("%+v %v", answer, err)
+				t.Errorf("survey returned %+v, error %v", answer, err)
 			}
 			f.update(func() { f.members[leaves[0]].stalled = false })
 			f.start(leaves[1])
 			mustConverge(t, f, 4, dueBound)
 			answer, err = asked.Survey(context.Background())
 			if err != nil || answer.Counts[4] != 60 || len(answer.Lagging)+len(answer.Unreachable) != 0 {
-				t.Errorf("%+v %v", answer, err)
+				t.Errorf("survey returned %+v, error %v", answer, err)
 			}
 		}},
 	}
@@ -245,11 +246,12 @@
 	}
 }
 
-// TestCost guards against a change that costs more store calls or bytes, or
-// takes longer, than the mode is meant to; -v prints the figures.
+// TestCost guards against a change that takes more store calls, bytes or time than
+// the limits of its mode; -v prints the figures.
 func TestCost(t *testing.T) {
 	const changes = 20
-	// In gossip, a node that no Have reaches waits for a periodic request.
+	// In Gossip mode, a node that receives no Have waits for its next periodic
+	// pull.
 	cases := map[Mode]struct {
 		limit       cost
 		maxDuration time.Duration
@@ -270,16 +272,16 @@
 				spent := f.cost().since(before, changes)
 				t.Logf("per change, 14 nodes: %+v, longest %s", spent, worst)
 				if spent.calls > c.limit.calls || spent.answered > c.limit.answered || spent.sent > c.limit.sent || spent.crossed > c.limit.crossed || worst > c.maxDuration {
-					t.Errorf("more than %+v, %s", c.limit, c.maxDuration)
+					t.Errorf("exceeds the limits %+v and %s", c.limit, c.maxDuration)
 				}
 			})
 		})
 	}
 }
 
-// TestNoise guards the invariants against lost, doubled, reordered, truncated
-// and damaged frames at random: no node goes back or puts in force what was
-// not accepted, and the fleet converges once the noise ends.
+// TestFrameFaults guards against a node that returns to an older version or puts
+// unaccepted content in force, and against a fleet that does not converge, after
+// random loss, duplication, reordering, truncation and corruption of frames.
 func TestFrameFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		runFleet(t, []Mode{Tree, Tree, Gossip}[seed%3], 18, func(t *testing.T, f *fleet) {
--- a/node/distributor/fleet_test.go
+++ b/node/distributor/fleet_test.go
@@ -25,8 +25,8 @@
 	"sycamorerun/persister"
 )
 
-// TestMain makes the compressor create its channel outside any synctest
-// bubble, since the tests share it.
+// TestMain makes the compressor create its channel outside of any synctest bubble,
+// since all tests share the compressor.
 func TestMain(m *testing.M) {
 	if _, err := encoder.Pack(&encoder.Entry{}); err != nil {
 		panic(err)
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// fakeStore is an object store in memory whose log is written by commit.
+// fakeStore is an in-memory object store whose log is written by commit.
 type fakeStore struct {
 	mutex    sync.Mutex
 	history  []persister.Object
@@ -46,9 +46,9 @@
 
 	down      bool
 	compacted persister.Revision
-	// stale hides the writes above a revision; zero shows all.
+	// staleAfter hides the writes above a revision, or none if zero.
 	staleAfter persister.Revision
-	// damage changes what is read.
+	// damage alters the values that are read.
 	damage func([]byte) []byte
 }
 
@@ -72,7 +72,7 @@
 	s.history = append(s.history, persister.Object{Key: key, Value: value, Revision: s.revision})
 }
 
-// next makes the next version: one service's slots change.
+// nextEntry creates the next version, in which the slots of one service change.
 func (s *fakeStore) nextEntry() sycamorerun.Entry {
 	version := s.tree.Version + 1
 	path := sycamorerun.NewPath("quoting", sycamorerun.KindService, fmt.Sprintf("desk-%d", version%7))
@@ -84,7 +84,7 @@
 	return sycamorerun.Entry{Version: version, Hash: s.hashes[version], Difference: difference}
 }
 
-// commit accepts n versions.
+// commit writes n versions to the log.
 func (s *fakeStore) commit(n int) {
 	s.update(func() {
 		for range n {
@@ -99,8 +99,8 @@
 	})
 }
 
-// cost counts what distribution takes: store calls, the bytes that the store
-// answers and that peers send, and of both those that cross regions.
+// cost counts the store calls, the bytes that the store returns, the bytes that
+// peers send, and how many of these bytes cross regions.
 type cost struct{ calls, answered, sent, crossed int }
 
 func (c *cost) add(n *int, bytes int, distance time.Duration) {
@@ -116,7 +116,7 @@
 	}
 }
 
-// newest returns the last version that a node can learn of from the store.
+// newestVisible returns the newest version that a node can read from the store.
 func (s *fakeStore) newestVisible() sycamorerun.Version {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -126,8 +126,8 @@
 	return s.tree.Version
 }
 
-// visible returns the objects under prefix between two revisions, as the
-// store's present state or, for a watch, as its history.
+// listing returns the objects under prefix after a revision: their latest state or,
+// for a watch, their history.
 func (s *fakeStore) listing(prefix string, after persister.Revision, watch, keysOnly bool, distance time.Duration) persister.Listing {
 	limit := s.revision
 	if s.staleAfter > 0 {
@@ -162,7 +162,7 @@
 	return listing
 }
 
-// store returns the calls as seen from a node that is delay away.
+// client returns the store as seen by a node with a network delay to it.
 func (s *fakeStore) client(delay time.Duration, reachable func() bool) persister.Store {
 	lock := func() (func(), error) {
 		time.Sleep(delay)
@@ -229,17 +229,18 @@
 	process atomic.Pointer[process]
 	plan    atomic.Pointer[planner.Plan]
 	up      bool
-	// mute makes the member read nothing from its streams.
+	// stalled stops the member from reading its streams.
 	stalled bool
-	// cut separates the member from the store and from peers of other zones.
+	// isolated separates the member from the store and from peers in other zones.
 	isolated bool
-	// lost counts the heartbeats since it was last up, not mute and not cut.
+	// missedHeartbeats counts the heartbeats since the member was last up and
+	// neither stalled nor isolated.
 	missedHeartbeats int
-	// fault is how the member or its document's store fails.
+	// fault is the failure of the member or of the store as seen by it.
 	fault fault
 }
 
-// process is one life of a member.
+// process is a member from its start to its stop.
 type process struct {
 	*Distributor
 	applier *applier.Applier
@@ -256,12 +257,14 @@
 	members map[string]*member
 	store   *fakeStore
 	mutex   sync.Mutex
-	// noise disturbs what is written, when it is set.
+	// injectFault, if set, replaces the writes of frames and may drop or alter
+	// them.
 	injectFault func(write func([]byte) error, data []byte) error
 	ctx         context.Context
 	stop        context.CancelFunc
 	t           *testing.T
-	// document makes the members follow a document; options are their plans'.
+	// newMemberDocument, if set, makes the members watch a document. The options
+	// apply to their plans.
 	newMemberDocument func(m *member, delay time.Duration) *Document
 	options           planner.Options
 	planning          sync.Mutex
@@ -292,11 +295,12 @@
 	return names
 }
 
-// detection is the number of heartbeats after which a lost member counts as
-// failed: 3 missed, then 3 s of suspicion.
+// failedHeartbeats is the number of missed heartbeats after which a member counts
+// as failed: 3 until it is suspected, and 3 more (3 s) until it is failed.
 const failedHeartbeats = 6
 
-// plan computes the members' plans from those that do not count as failed.
+// plan computes the plans of all members from the members that do not count as
+// failed.
 func (f *fleet) plan() {
 	f.planning.Lock()
 	defer f.planning.Unlock()
@@ -321,7 +325,8 @@
 	}
 }
 
-// detect counts the heartbeats that the lost members miss.
+// countHeartbeats counts the heartbeats that each member misses and updates the
+// plans.
 func (f *fleet) countHeartbeats() {
 	f.update(func() {
 		for _, m := range f.members {
@@ -346,7 +351,7 @@
 		last := sycamorerun.Version(0)
 		a.Changed = func(state applier.State) {
 			if state.Tree.Version <= last || state.Hash != f.acceptedHash(state.Tree.Version) || differ.Hash(state.Tree.Items) != state.Hash {
-				f.t.Errorf("%s: version %s after %s is older or not the accepted one", name, state.Tree.Version, last)
+				f.t.Errorf("%s: version %s in force after %s is older or differs from the accepted content", name, state.Tree.Version, last)
 			}
 			last = state.Tree.Version
 		}
@@ -379,13 +384,13 @@
 		newest := f.store.newestVisible()
 		go func() {
 			if d.Bootstrap(ctx) == nil && a.Current().Tree.Version < newest {
-				f.t.Errorf("%s: ready with version %s before %s", name, a.Current().Tree.Version, newest)
+				f.t.Errorf("%s: ready with version %s while the store has %s", name, a.Current().Tree.Version, newest)
 			}
 		}()
 	}
 }
 
-// measured spreads a member's distance.
+// publishDistance applies a member's distance to all plans after a delay.
 func (f *fleet) publishDistance(m *member, distance int) {
 	time.Sleep(200 * time.Millisecond)
 	f.update(func() { m.Distance = distance })
@@ -412,7 +417,7 @@
 	return f.store.hashes[version]
 }
 
-// cost returns the cost so far.
+// cost returns the cost since the start of the fleet.
 func (f *fleet) cost() (c cost) {
 	f.store.update(func() { c = f.store.cost })
 	return c
@@ -432,14 +437,14 @@
 	}
 	time.Sleep(delay)
 	if !f.reachable(from, to) {
-		return nil, errors.New("unreachable")
+		return nil, errors.New("peer unreachable")
 	}
 	near, far := net.Pipe()
 	go to.process.Load().Serve(f.ctx, from.Name, &slowConn{far, f, to, from, delay})
 	return &slowConn{near, f, from, to, delay}, ctx.Err()
 }
 
-// slowConn delays what is written by the distance and counts it.
+// slowConn delays writes by the network delay and counts their bytes.
 type slowConn struct {
 	net.Conn
 	fleet    *fleet
@@ -469,7 +474,7 @@
 	return c.Conn.Read(data)
 }
 
-// heartbeats carry the versions over the links each second.
+// heartbeats reports each member's version to its linked peers each second.
 func (f *fleet) heartbeats() {
 	for sleep(f.ctx, time.Second) {
 		f.countHeartbeats()
@@ -487,8 +492,8 @@
 	}
 }
 
-// converge returns the time until all members that are up have version, or an
-// error after a bound.
+// converge returns the time until all members that are up and neither stalled nor
+// isolated have version, or an error after bound.
 func (f *fleet) converge(version sycamorerun.Version, bound time.Duration) (time.Duration, error) {
 	begin := time.Now()
 	for {
@@ -510,8 +515,8 @@
 	}
 }
 
-// spare reports whether each child of the member has another parent, so that
-// the second tree covers its failure.
+// childrenCovered reports whether each child of the member has another parent, so
+// that the second tree covers a failure of the member.
 func (f *fleet) childrenCovered(name string) bool {
 	for _, m := range f.members {
 		others, child := 0, false
@@ -528,7 +533,7 @@
 	return true
 }
 
-// watcher returns the member that watches the store for a region.
+// watcher returns the member that has the given watch role in a region.
 func (f *fleet) watcher(region string, watch planner.Watch) string {
 	for _, name := range f.names() {
 		if f.members[name].Region == region && f.members[name].process.Load().Plan().Watch == watch {
@@ -538,13 +543,14 @@
 	panic("no watcher in " + region)
 }
 
-// run runs a scenario on a settled fleet in a bubble with its own time.
+// runFleet runs a scenario on a converged fleet in a synctest bubble, which has its
+// own clock.
 func runFleet(t *testing.T, mode Mode, size int, scenario func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, mode, size)
 		defer func() {
 			f.stop()
-			// The delays of the fake network do not end with the context.
+			// The delays of the fake network are not interrupted by the context.
 			time.Sleep(time.Minute)
 			synctest.Wait()
 		}()
--- a/node/distributor/store_health.go
+++ b/node/distributor/store_health.go
@@ -14,9 +14,9 @@
 	// maxStoreFailures is the number of consecutive failed calls after which a
 	// node counts as cut off from the store.
 	maxStoreFailures = 2
-	// silentWatchThreshold is the duration of a failed watch from which on the
-	// store counts as silent towards this node. Another call of that length would
-	// delay a version beyond the time at which it must be in force.
+	// silentWatchThreshold is the shortest duration of a failed watch that marks the
+	// store as silent towards this node. A second call of that length would
+	// delay a version beyond the time by which it must be in force.
 	silentWatchThreshold = time.Second
 	// storeSuccessValidity is how long after a successful call the node counts as
 	// reaching the store: the wait of a watch and 1 s for its response.
@@ -30,7 +30,7 @@
 	storeProbeMembers  = 32
 )
 
-// storeHealth records the results of the node's own store calls.
+// storeHealth tracks the results of the node's own store calls.
 type storeHealth struct {
 	mutex sync.Mutex
 	// minLatency is the lowest latency of a read, or zero before the first one.
@@ -41,7 +41,9 @@
 	// nextProbe is when a node without a role probes the store again.
 	nextProbe         time.Time
 	publishedDistance int
-	watchRevision     persister.Revision
+	// watchRevision is the revision to watch from, or zero if the document must
+	// be read first.
+	watchRevision persister.Revision
 }
 
 func (h *storeHealth) revision() persister.Revision {
--- a/node/distributor/watch.go
+++ b/node/distributor/watch.go
@@ -101,7 +101,7 @@
 }
 
 // followLog watches the log until an error occurs. It calls onSuccess after each
-// successful call.
+// successful watch call.
 func (d *Distributor) followLog(ctx context.Context, role planner.Watch, onSuccess func()) error {
 	keysOnly := role == planner.Standby
 	after, synced, err := d.startRevision(ctx, keysOnly)
