--- a/node/distributor/bench_test.go
+++ b/node/distributor/bench_test.go
@@ -15,8 +15,9 @@
 	"sycamorerun/validator"
 )
 
-// large returns a tree of the two-year size: 430 services and 900 routes.
-func large() map[sycamorerun.Path]sycamorerun.Item {
+// largeTree returns the items of a tree of the size expected in two years: 430
+// services and 900 routes.
+func largeTree() map[sycamorerun.Path]sycamorerun.Item {
 	items := map[sycamorerun.Path]sycamorerun.Item{}
 	put := func(i int, kind, name string, value any) {
 		item, err := json.Marshal(value)
@@ -64,7 +65,7 @@
 	}
 }
 
-// BenchmarkChange is the processor time of one change on one node, from the
+// BenchmarkChange measures the processor time of one change on one node, from the
 // received frame to the frame for its children, without and with validation.
 func BenchmarkChange(b *testing.B) {
 	b.Run("plain", func(b *testing.B) { benchmarkChange(b, nil) })
@@ -72,8 +73,8 @@
 }
 
 func benchmarkChange(b *testing.B, validate func(map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault) {
-	items := large()
-	d, a := solo()
+	items := largeTree()
+	d, a := newIsolatedNode()
 	a.Validate = validate
 	if err := a.Install(start, sycamorerun.Tree{Version: 1, Items: items}, differ.Hash(items)); err != nil {
 		b.Fatal(err)
@@ -84,34 +85,34 @@
 		b.StopTimer()
 		entry := change(a.Current().Tree, i)
 		data, _ := persister.EncodeEntry(entry)
-		received := frame(push(entry.Version, data))
+		received := encodeFrame(newPush(entry.Version, data))
 		size, stored = len(received), len(data)
 		b.StartTimer()
 		message, err := readMessage(bytes.NewReader(received))
 		if err == nil {
-			err = d.pushed(start, "parent", message.GetPush())
+			err = d.handlePush(start, "parent", message.GetPush())
 		}
 		if err != nil {
 			b.Fatal(err)
 		}
-		_ = frame(push(entry.Version, data))
+		_ = encodeFrame(newPush(entry.Version, data))
 	}
 	b.ReportMetric(float64(size), "bytes/push")
 	b.ReportMetric(float64(stored), "bytes/entry")
-	b.ReportMetric(float64(len(frame(have(1<<20, false)))), "bytes/have")
+	b.ReportMetric(float64(len(encodeFrame(newHave(1<<20, false)))), "bytes/have")
 }
 
-// BenchmarkFrame is the processor time to encode one push.
+// BenchmarkFrame measures the processor time to encode one push.
 func BenchmarkFrame(b *testing.B) {
-	data, _ := persister.EncodeEntry(change(sycamorerun.Tree{Version: 1, Items: large()}, 1))
+	data, _ := persister.EncodeEntry(change(sycamorerun.Tree{Version: 1, Items: largeTree()}, 1))
 	for b.Loop() {
-		_ = frame(push(1, data))
+		_ = encodeFrame(newPush(1, data))
 	}
 }
 
-// BenchmarkSnapshot is the processor time to pack a snapshot and its size.
+// BenchmarkSnapshot measures the processor time to encode a snapshot and its size.
 func BenchmarkSnapshot(b *testing.B) {
-	tree := sycamorerun.Tree{Version: 1, Items: large()}
+	tree := sycamorerun.Tree{Version: 1, Items: largeTree()}
 	size, plain := 0, 0
 	for path, item := range tree.Items {
 		plain += len(path) + len(item)
@@ -124,9 +125,9 @@
 	b.ReportMetric(float64(plain), "bytes/tree")
 }
 
-// BenchmarkHeldTree is the memory that a tree and its table keep.
+// BenchmarkHeldTree measures the memory that a tree and its routing table retain.
 func BenchmarkHeldTree(b *testing.B) {
-	data, _ := persister.EncodeSnapshot(sycamorerun.Tree{Version: 1, Items: large()}, differ.Hash(large()))
+	data, _ := persister.EncodeSnapshot(sycamorerun.Tree{Version: 1, Items: largeTree()}, differ.Hash(largeTree()))
 	heap := func() float64 {
 		var stats runtime.MemStats
 		runtime.GC()
--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -1,6 +1,6 @@
-// Package distributor brings accepted versions to every node: it watches the
-// store where the plan selects the node to, pushes down the trees, pulls what
-// is missing and answers the pulls of others.
+// Package distributor replicates accepted versions to every node. Nodes that
+// the plan selects watch the store; all nodes push versions down the trees, pull
+// the versions that they lack and serve the pulls of their peers.
 package distributor
 
 import (
@@ -23,206 +23,213 @@
 	"sycamorerun/persister"
 )
 
-// Kind is the kind of the distributor's streams.
+// Kind is the stream kind of the distributor.
 const Kind = "distributor"
 
-// DefaultStandbyDelay is the default of the setting --standby-delay.
+// DefaultStandbyDelay is the default of --standby-delay.
 const DefaultStandbyDelay = 500 * time.Millisecond
 
-// Mode selects the way of distribution. All but Tree are baselines for
-// measurements.
+// Mode selects how versions are distributed. All modes but Tree are baselines
+// for measurements.
 type Mode string
 
-// Modes of distribution.
+// Distribution modes.
 const (
 	Tree Mode = "tree"
 	// Poll has every node watch the store itself; nothing is pushed.
 	Poll Mode = "poll"
-	// Gossip sends Have to random live peers and asks one each second.
+	// Gossip sends Have to random live peers and pulls from a random one each
+	// second.
 	Gossip Mode = "gossip"
 )
 
-// Distributor owns the recent entries and what is known of peers' versions.
-// The exported fields are set before Run.
+// Distributor replicates versions between the store, this node and its peers.
+// The exported fields must be set before Run.
 type Distributor struct {
 	// Self is the node's name.
 	Self string
 	Mode Mode
-	// StandbyDelay returns how long the standby waits for the primary's push.
+	// StandbyDelay returns how long a standby watcher waits for the primary's
+	// push before it reads the store.
 	StandbyDelay func() time.Duration
 	Store        persister.Store
-	// Document is the operators' document; nil selects the log in Store.
+	// Document is the source of the operators' document; if nil, versions come
+	// from the log in Store.
 	Document *Document
-	// Measure publishes the distance of the store.
-	Measure func(now time.Time, distance int)
+	// PublishDistance publishes this node's distance to the store.
+	PublishDistance func(now time.Time, distance int)
 	// Current returns the tree in force and its hash.
 	Current func() (sycamorerun.Tree, sycamorerun.Hash)
-	// Apply and Install put a version in force or return why they did not.
+	// Apply and Install put a version in force or return the reason for its
+	// refusal.
 	Apply   func(now time.Time, entry sycamorerun.Entry) error
 	Install func(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash) error
-	// Plan is called with locks held and must not call the distributor.
+	// Plan returns the plan in force. It is called with locks held and must not
+	// call the distributor.
 	Plan func() planner.Plan
-	// Open opens a stream of kind to the peer with name.
+	// Open opens a stream of the given kind to a peer.
 	Open func(ctx context.Context, peer, kind string) (net.Conn, error)
-	// Peers returns the names of the live peers, for Gossip and for a node
-	// whose parent is silent.
+	// Peers returns the names of the live peers. Gossip mode and nodes whose
+	// parent is silent pull from them.
 	Peers func() []string
-	// Random returns a uniform number in [0, 1).
+	// Random returns a uniformly distributed number in [0, 1).
 	Random func() float64
 	Logger log.Logger
 	Scope  tally.Scope
 
-	// accepting orders the acceptance of versions; it is held while one is
-	// applied. The other mutexes are held for short times only.
-	accepting sync.Mutex
-	held      atomic.Uint64
-	// refused is the newest version that was verified but refused here, the
-	// base of the entry after it.
-	refused *sycamorerun.Tree
-	// recent are the trees held before, for entries that are based on them.
-	recent []sycamorerun.Tree
-
-	planning sync.Mutex
-
-	mutex   sync.Mutex
-	ring    ring
-	wants   wants
-	parent  parent
-	links   map[string]*link
-	running context.Context
-	// role is the watch that is running and stopWatch ends it.
-	role      planner.Watch
-	stopWatch context.CancelFunc
-
-	wakePull  chan struct{}
-	wakeWatch chan struct{}
-	ready     atomic.Bool
-	serving   chan struct{}
-	casting   chan struct{}
-	packed    snapshotCache
-	reach     reach
-	// taken is set while this node watches in place of the planned watchers.
-	taken atomic.Bool
+	// acceptMutex serializes the acceptance of versions and is held while one is
+	// applied. The other mutexes are held only briefly.
+	acceptMutex sync.Mutex
+	heldVersion atomic.Uint64
+	// refusedTree is the tree of the held version while this node refuses to put
+	// it in force. The next entry is based on it.
+	refusedTree *sycamorerun.Tree
+	// recentTrees are earlier trees on which entries may be based.
+	recentTrees []sycamorerun.Tree
+
+	planMutex sync.Mutex
+
+	mutex      sync.Mutex
+	entryCache entryCache
+	pulls      pullScheduler
+	parent     parent
+	links      map[string]*link
+	runContext context.Context
+	// activeRole is the role of the running watch, which stopWatch cancels.
+	activeRole planner.Watch
+	stopWatch  context.CancelFunc
+
+	wakePull      chan struct{}
+	wakeWatch     chan struct{}
+	ready         atomic.Bool
+	replySlots    chan struct{}
+	gossipSlots   chan struct{}
+	snapshotCache snapshotCache
+	storeHealth   storeHealth
+	// takeover is set while this deputy watches the store in place of the planned
+	// watchers.
+	takeover atomic.Bool
 }
 
-// New returns a Distributor with its defaults.
+// New returns a Distributor with default settings.
 func New() *Distributor {
 	return &Distributor{
-		Mode:         Tree,
-		StandbyDelay: func() time.Duration { return DefaultStandbyDelay },
-		Measure:      func(time.Time, int) {},
-		Random:       rand.Float64,
-		Peers:        func() []string { return nil },
-		Logger:       log.NewNopLogger(),
-		wants:        wants{peers: map[string]*standing{}},
-		links:        map[string]*link{},
-		wakePull:     make(chan struct{}, 1),
-		wakeWatch:    make(chan struct{}, 1),
-		serving:      make(chan struct{}, maxServed),
-		casting:      make(chan struct{}, maxCasts),
+		Mode:            Tree,
+		StandbyDelay:    func() time.Duration { return DefaultStandbyDelay },
+		PublishDistance: func(time.Time, int) {},
+		Random:          rand.Float64,
+		Peers:           func() []string { return nil },
+		Logger:          log.NewNopLogger(),
+		pulls:           pullScheduler{peers: map[string]*peerState{}},
+		links:           map[string]*link{},
+		wakePull:        make(chan struct{}, 1),
+		wakeWatch:       make(chan struct{}, 1),
+		replySlots:      make(chan struct{}, maxLargeReplies),
+		gossipSlots:     make(chan struct{}, maxGossipSends),
 	}
 }
 
-// Run distributes until ctx ends.
+// Run distributes versions until ctx is done.
 func (d *Distributor) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	defer group.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d.mutex.Lock()
-	d.running = ctx
+	d.runContext = ctx
 	d.mutex.Unlock()
 	d.Replan()
 	if d.Document == nil {
-		group.Go(func() { d.watch(ctx) })
+		group.Go(func() { d.watchLog(ctx) })
 	} else {
 		group.Go(func() { d.watchDocument(ctx) })
-		group.Go(func() { d.monitor(ctx) })
+		group.Go(func() { d.monitorWatchers(ctx) })
 	}
-	group.Go(func() { d.pulls(ctx) })
+	group.Go(func() { d.runPulls(ctx) })
 	switch d.Mode {
 	case Gossip:
-		group.Go(func() { d.ask(ctx) })
+		group.Go(func() { d.runAntiEntropy(ctx) })
 	case Tree:
-		group.Go(func() { d.fallback(ctx) })
+		group.Go(func() { d.runFallback(ctx) })
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// Replan adjusts the links and the watch to the plan. It is called after each
-// change of the members.
+// Replan adjusts the links and the watch to the current plan. It is called
+// after each membership change.
 func (d *Distributor) Replan() {
-	// A plan that was read earlier must not replace a later one.
-	d.planning.Lock()
-	defer d.planning.Unlock()
+	// Concurrent calls must not let an older plan replace a newer one.
+	d.planMutex.Lock()
+	defer d.planMutex.Unlock()
 	plan := d.Plan()
-	known := peers(plan.Links)
-	down := map[string]bool{}
+	linked := linkedPeers(plan.Links)
+	isChild := map[string]bool{}
 	for _, name := range children(plan.Links) {
-		down[name] = true
+		isChild[name] = true
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.running == nil || d.running.Err() != nil {
+	if d.runContext == nil || d.runContext.Err() != nil {
 		return
 	}
 	if d.Mode == Tree {
-		d.relink(known, down)
-		kept := map[string]bool{}
-		for name := range known {
-			kept[name] = true
+		d.updateLinks(linked, isChild)
+		retained := map[string]bool{}
+		for name := range linked {
+			retained[name] = true
 		}
-		d.wants.keep(kept)
+		d.pulls.retain(retained)
 	}
 	d.adjustWatch(plan)
 	signal(d.wakePull)
 }
 
-// adjustWatch ends a watch in a role other than that of the plan; the caller
-// holds the mutex.
+// adjustWatch cancels the running watch if the plan gives this node another
+// role. The caller holds d.mutex.
 func (d *Distributor) adjustWatch(plan planner.Plan) {
-	if d.stopWatch != nil && d.role != d.watchRole(plan) {
+	if d.stopWatch != nil && d.activeRole != d.watchRole(plan) {
 		d.stopWatch()
 	}
 	signal(d.wakeWatch)
 }
 
-// relink starts and stops links; the caller holds the mutex.
-func (d *Distributor) relink(known, down map[string]bool) {
+// updateLinks starts the links to new peers and stops those to removed peers.
+// The caller holds d.mutex.
+func (d *Distributor) updateLinks(linked, isChild map[string]bool) {
 	for name, link := range d.links {
-		if _, ok := known[name]; !ok {
+		if _, ok := linked[name]; !ok {
 			link.stop()
 			delete(d.links, name)
 		}
 	}
-	for name := range known {
+	for name := range linked {
 		existing, ok := d.links[name]
 		if !ok {
-			ctx, stop := context.WithCancel(d.running)
+			ctx, stop := context.WithCancel(d.runContext)
 			existing = &link{peer: name, stop: stop, wake: make(chan struct{}, 1)}
 			d.links[name] = existing
 			go existing.run(ctx, d)
 		}
-		existing.setDown(down[name])
-		if !ok && d.Held() > 0 {
-			existing.restart(d.Held())
+		existing.setChild(isChild[name])
+		if !ok && d.HeldVersion() > 0 {
+			existing.resetQueue(d.HeldVersion())
 		}
 	}
 }
 
-// Held returns the newest version whose content this node has verified. It is
-// above the version in force while that content is refused here.
-func (d *Distributor) Held() sycamorerun.Version {
+// HeldVersion returns the newest version whose content this node has verified.
+// It is above the version in force while this node refuses that content.
+func (d *Distributor) HeldVersion() sycamorerun.Version {
 	tree, _ := d.Current()
-	return max(tree.Version, sycamorerun.Version(d.held.Load()))
+	return max(tree.Version, sycamorerun.Version(d.heldVersion.Load()))
 }
 
-// Ready reports whether Bootstrap has found the newest version.
+// Ready reports whether Bootstrap has completed.
 func (d *Distributor) Ready() bool { return d.ready.Load() }
 
-// Learn takes an entry that this node committed to the store.
-func (d *Distributor) Learn(now time.Time, entry sycamorerun.Entry) {
+// ApplyCommitted applies an entry that this node committed to the store.
+func (d *Distributor) ApplyCommitted(now time.Time, entry sycamorerun.Entry) {
 	data, err := persister.EncodeEntry(entry)
 	if err == nil {
 		err = d.accept(now, entry, data, "")
@@ -232,29 +239,29 @@
 	}
 }
 
-// Heard records a peer's version, as carried by heartbeats.
-func (d *Distributor) Heard(peer string, version sycamorerun.Version) {
+// ObserveHeartbeat records the version that a peer's heartbeat reports.
+func (d *Distributor) ObserveHeartbeat(peer string, version sycamorerun.Version) {
 	now := time.Now()
 	d.mutex.Lock()
-	d.parent.hear(now, peer)
+	d.parent.observeHeartbeat(now, peer)
 	d.mutex.Unlock()
-	d.heard(now, peer, version, d.pullDelay()+d.detour(peer))
+	d.observeVersion(now, peer, version, d.pullDelay()+d.crossRegionDelay(peer))
 }
 
-func (d *Distributor) heard(now time.Time, peer string, version sycamorerun.Version, delay time.Duration) {
-	held := d.Held()
+func (d *Distributor) observeVersion(now time.Time, peer string, version sycamorerun.Version, delay time.Duration) {
+	held := d.HeldVersion()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.wants.heard(now, peer, version, held, delay)
+	d.pulls.observe(now, peer, version, held, delay)
 	if version > held {
 		signal(d.wakePull)
 	}
 }
 
-// Entry returns a recent entry.
+// Entry returns the entry of version if it is still cached.
 func (d *Distributor) Entry(version sycamorerun.Version) (sycamorerun.Entry, bool) {
 	d.mutex.Lock()
-	data, ok := d.ring.get(version)
+	data, ok := d.entryCache.get(version)
 	d.mutex.Unlock()
 	if !ok {
 		return sycamorerun.Entry{}, false
@@ -263,118 +270,122 @@
 	return entry, err == nil
 }
 
-// Entries returns up to limit recent entries, newest first.
+// Entries returns up to limit cached entries, newest first.
 func (d *Distributor) Entries(limit int) []sycamorerun.Entry {
 	d.mutex.Lock()
-	newest := slices.Clone(d.ring.entries[max(0, len(d.ring.entries)-limit):])
+	newest := slices.Clone(d.entryCache.entries[max(0, len(d.entryCache.entries)-limit):])
 	d.mutex.Unlock()
 	var entries []sycamorerun.Entry
-	for _, kept := range slices.Backward(newest) {
-		if entry, err := persister.DecodeEntry(kept.data); err == nil {
+	for _, cached := range slices.Backward(newest) {
+		if entry, err := persister.DecodeEntry(cached.data); err == nil {
 			entries = append(entries, entry)
 		}
 	}
 	return entries
 }
 
-// errGap means that versions before an entry are missing.
+// errGap means that this node lacks the version on which an entry is based.
 var errGap = errors.New("versions are missing")
 
-// accept applies entry, whose stored form is data, and forwards it. An entry
-// at or below the held version is ignored. An entry that this node refuses
-// although its content is intact is forwarded all the same, since the rules of
-// another node may differ, and becomes the base of the next one.
+// accept applies entry, whose stored encoding is data, and forwards it. An entry
+// at or below the held version is ignored. An entry with intact content that
+// this node refuses is still forwarded, since the validation rules of other
+// nodes may differ, and becomes the base of the next entry.
 func (d *Distributor) accept(now time.Time, entry sycamorerun.Entry, data []byte, source string) error {
-	d.accepting.Lock()
-	defer d.accepting.Unlock()
-	held := d.Held()
+	d.acceptMutex.Lock()
+	defer d.acceptMutex.Unlock()
+	held := d.HeldVersion()
 	if entry.Version <= held {
 		return nil
 	}
 	if base := entry.Basis(); base != held {
-		if tree, ok := d.recall(base); ok {
-			return d.advance(now, differ.Apply(tree, entry.Version, entry.Difference), entry.Hash, entry.Time, source)
+		if tree, ok := d.recentTree(base); ok {
+			return d.installWithEntry(now, differ.Apply(tree, entry.Version, entry.Difference), entry.Hash, entry.Time, source)
 		}
-		return errors.Wrapf(errGap, "version %s on top of %s after %s", entry.Version, base, held)
+		return errors.Wrapf(errGap, "entry of version %s is based on %s, but the node holds %s", entry.Version, base, held)
 	}
-	before := d.base()
-	if err := d.put(now, entry); err != nil {
+	previous := d.heldTree()
+	if err := d.applyEntry(now, entry); err != nil {
 		return err
 	}
-	d.remember(before)
+	d.addRecentTree(previous)
 	d.mutex.Lock()
-	d.ring.chain(entry.Version, held, data)
+	d.entryCache.add(entry.Version, held, data)
 	d.mutex.Unlock()
 	d.forward(entry.Version, data, source)
 	return nil
 }
 
-// put applies entry on the tree in force or on the refused one. It returns an
-// error only when the content does not match its hash.
-func (d *Distributor) put(now time.Time, entry sycamorerun.Entry) error {
+// applyEntry applies entry to the tree in force or to the refused one. It
+// returns an error only if the resulting content does not match its hash.
+func (d *Distributor) applyEntry(now time.Time, entry sycamorerun.Entry) error {
 	base, _ := d.Current()
-	if d.refused != nil {
-		next := differ.Apply(*d.refused, entry.Version, entry.Difference)
-		return d.settle(next, entry.Hash, d.Install(now, next, entry.Hash))
+	if d.refusedTree != nil {
+		next := differ.Apply(*d.refusedTree, entry.Version, entry.Difference)
+		return d.recordHeld(next, entry.Hash, d.Install(now, next, entry.Hash))
 	}
 	err := d.Apply(now, entry)
 	if err == nil {
-		return d.settle(sycamorerun.Tree{Version: entry.Version}, entry.Hash, nil)
+		return d.recordHeld(sycamorerun.Tree{Version: entry.Version}, entry.Hash, nil)
 	}
-	return d.settle(differ.Apply(base, entry.Version, entry.Difference), entry.Hash, err)
+	return d.recordHeld(differ.Apply(base, entry.Version, entry.Difference), entry.Hash, err)
 }
 
-// settle records the version of tree as held, in force or refused with err.
-func (d *Distributor) settle(tree sycamorerun.Tree, hash sycamorerun.Hash, err error) error {
+// recordHeld records the version of tree as held. A non-nil err is the reason
+// for which it was refused and is returned if the tree does not match hash.
+func (d *Distributor) recordHeld(tree sycamorerun.Tree, hash sycamorerun.Hash, err error) error {
 	if err != nil && differ.Hash(tree.Items) != hash {
 		return err
 	}
-	d.refused = nil
+	d.refusedTree = nil
 	if err != nil {
-		d.refused = &tree
+		d.refusedTree = &tree
 		d.count("distributor_refused", 1)
 	}
-	d.held.Store(uint64(tree.Version))
+	d.heldVersion.Store(uint64(tree.Version))
 	return nil
 }
 
-// install puts a whole tree in force and tells the peers.
-func (d *Distributor) install(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, source string) error {
-	d.accepting.Lock()
-	defer d.accepting.Unlock()
-	if tree.Version <= d.Held() {
+// installSnapshot installs a complete tree and announces its version to the
+// peers.
+func (d *Distributor) installSnapshot(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, source string) error {
+	d.acceptMutex.Lock()
+	defer d.acceptMutex.Unlock()
+	if tree.Version <= d.HeldVersion() {
 		return nil
 	}
 	if d.Document != nil {
-		return d.advance(now, tree, hash, now, source)
+		return d.installWithEntry(now, tree, hash, now, source)
 	}
-	if err := d.settle(tree, hash, d.Install(now, tree, hash)); err != nil {
+	if err := d.recordHeld(tree, hash, d.Install(now, tree, hash)); err != nil {
 		return err
 	}
-	// The entries end below the snapshot's version and no longer answer a pull.
+	// The cached entries end below the snapshot's version and cannot answer
+	// pulls any more.
 	d.mutex.Lock()
-	d.ring = ring{}
+	d.entryCache = entryCache{}
 	d.mutex.Unlock()
 	d.forward(tree.Version, nil, source)
 	return nil
 }
 
-// forward tells the peers about version; data is nil after a snapshot.
+// forward announces version to the peers or pushes its entry. Data is nil if
+// there is no entry, as after a snapshot.
 func (d *Distributor) forward(version sycamorerun.Version, data []byte, source string) {
 	signal(d.wakePull)
 	switch d.Mode {
 	case Gossip:
-		d.spread(version, source)
+		d.gossipVersion(version, source)
 	case Tree:
 		var content []byte
 		if data != nil {
-			content = frame(push(version, data))
+			content = encodeFrame(newPush(version, data))
 		}
-		d.offer(targets(d.Plan().Links, source, data != nil), version, content)
+		d.enqueue(targets(d.Plan().Links, source, data != nil), version, content)
 	}
 }
 
-func (d *Distributor) offer(to []target, version sycamorerun.Version, content []byte) {
+func (d *Distributor) enqueue(to []target, version sycamorerun.Version, content []byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, target := range to {
@@ -382,10 +393,10 @@
 		if !ok {
 			continue
 		}
-		if peer := d.wants.peers[target.peer]; peer != nil && peer.version >= version {
+		if peer := d.pulls.peers[target.peer]; peer != nil && peer.version >= version {
 			continue
 		}
-		link.offer(target, version, content)
+		link.enqueue(target, version, content)
 	}
 }
 
--- a/node/distributor/distributor_test.go
+++ b/node/distributor/distributor_test.go
@@ -25,8 +25,8 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// solo returns a node without peers or a store, and its applier.
-func solo() (*Distributor, *applier.Applier) {
+// newIsolatedNode returns a node without peers or a store, and its applier.
+func newIsolatedNode() (*Distributor, *applier.Applier) {
 	d, a := New(), &applier.Applier{}
 	d.Current = func() (sycamorerun.Tree, sycamorerun.Hash) { return a.Current().Tree, a.Current().Hash }
 	d.Apply, d.Install = a.Apply, a.Install
@@ -34,65 +34,70 @@
 	return d, a
 }
 
-// TestWants guards against a pull storm, a pull across regions while a near
-// peer has the version, and a version that is never pulled.
-func TestWants(t *testing.T) {
+// TestPullScheduler guards against too many concurrent pulls, a pull from another
+// region while a peer within the region has the version, and a version that is
+// never pulled.
+func TestPullScheduler(t *testing.T) {
 	type step struct {
 		at   time.Duration
-		do   func(w *wants, now time.Time)
+		do   func(s *pullScheduler, now time.Time)
 		held sycamorerun.Version
 		peer string
 		wait time.Duration
 	}
-	heard := func(peer string, version sycamorerun.Version) func(*wants, time.Time) {
-		return func(w *wants, now time.Time) { w.heard(now, peer, version, 1, pullDelay) }
+	observe := func(peer string, version sycamorerun.Version) func(*pullScheduler, time.Time) {
+		return func(s *pullScheduler, now time.Time) { s.observe(now, peer, version, 1, pullDelay) }
 	}
-	began := func(peer string) func(*wants, time.Time) {
-		return func(w *wants, now time.Time) { w.began(now, peer) }
+	startPull := func(peer string) func(*pullScheduler, time.Time) {
+		return func(s *pullScheduler, now time.Time) { s.startPull(now, peer) }
 	}
-	none := func(*wants, time.Time) {}
+	noop := func(*pullScheduler, time.Time) {}
 	const ms = time.Millisecond
 	cases := map[string][]step{
-		"waits for the push":       {{0, heard("a", 2), 1, "", pullDelay}, {300 * ms, none, 1, "a", idle}},
-		"push arrived":             {{0, heard("a", 2), 1, "", pullDelay}, {300 * ms, none, 2, "", idle}},
-		"near peer first":          {{0, heard("far", 3), 1, "", pullDelay}, {300 * ms, heard("a", 2), 1, "far", pullDelay}, {600 * ms, none, 1, "a", idle}},
-		"a later Have is no delay": {{0, heard("a", 2), 1, "", pullDelay}, {200 * ms, heard("a", 3), 1, "", 100 * ms}},
-		"direct":                   {{0, heard("a", 2), 1, "", pullDelay}, {0, func(w *wants, now time.Time) { w.heard(now, "a", 2, 1, 0) }, 1, "a", idle}},
+		"waits for the push":       {{0, observe("a", 2), 1, "", pullDelay}, {300 * ms, noop, 1, "a", maxIdleWait}},
+		"push arrived":             {{0, observe("a", 2), 1, "", pullDelay}, {300 * ms, noop, 2, "", maxIdleWait}},
+		"near peer first":          {{0, observe("far", 3), 1, "", pullDelay}, {300 * ms, observe("a", 2), 1, "far", pullDelay}, {600 * ms, noop, 1, "a", maxIdleWait}},
+		"a later Have is no delay": {{0, observe("a", 2), 1, "", pullDelay}, {200 * ms, observe("a", 3), 1, "", 100 * ms}},
+		"direct":                   {{0, observe("a", 2), 1, "", pullDelay}, {0, func(s *pullScheduler, now time.Time) { s.observe(now, "a", 2, 1, 0) }, 1, "a", maxIdleWait}},
 		"one pull, then a hedge": {
-			{0, heard("a", 2), 1, "", pullDelay},
-			{0, heard("b", 2), 1, "", pullDelay},
-			{0, heard("c", 2), 1, "", pullDelay},
-			{300 * ms, began("a"), 1, "", hedgeDelay},
-			{1300 * ms, none, 1, "b", idle},
-			{1300 * ms, began("b"), 1, "", idle},
+			{0, observe("a", 2), 1, "", pullDelay},
+			{0, observe("b", 2), 1, "", pullDelay},
+			{0, observe("c", 2), 1, "", pullDelay},
+			{300 * ms, startPull("a"), 1, "", hedgeDelay},
+			{1300 * ms, noop, 1, "b", maxIdleWait},
+			{1300 * ms, startPull("b"), 1, "", maxIdleWait},
 		},
 		"failure": {
-			{0, heard("a", 2), 1, "", pullDelay},
-			{300 * ms, began("a"), 1, "", hedgeDelay},
-			{400 * ms, func(w *wants, now time.Time) { w.failed(now, "a", 0.5) }, 1, "", 50 * ms},
-			{450 * ms, none, 1, "a", idle},
+			{0, observe("a", 2), 1, "", pullDelay},
+			{300 * ms, startPull("a"), 1, "", hedgeDelay},
+			{400 * ms, func(s *pullScheduler, now time.Time) { s.failPull(now, "a", 0.5) }, 1, "", 50 * ms},
+			{450 * ms, noop, 1, "a", maxIdleWait},
 		},
 		"busy": {
-			{0, heard("a", 2), 1, "", pullDelay},
-			{300 * ms, func(w *wants, now time.Time) { w.began(now, "a"); w.ended(now, "a", 2, 70*ms) }, 1, "", 70 * ms},
+			{0, observe("a", 2), 1, "", pullDelay},
+			{300 * ms, func(s *pullScheduler, now time.Time) { s.startPull(now, "a"); s.finishPull(now, "a", 2, 70*ms) }, 1, "", 70 * ms},
 		},
 		"peer went back": {
-			{0, heard("a", 9), 1, "", pullDelay},
-			{300 * ms, func(w *wants, now time.Time) { w.began(now, "a"); w.ended(now, "a", 1, 0) }, 1, "", idle},
+			{0, observe("a", 9), 1, "", pullDelay},
+			{300 * ms, func(s *pullScheduler, now time.Time) { s.startPull(now, "a"); s.finishPull(now, "a", 1, 0) }, 1, "", maxIdleWait},
 		},
 		"Have during a pull": {
-			{0, heard("a", 2), 1, "", pullDelay},
-			{300 * ms, func(w *wants, now time.Time) { w.began(now, "a"); heard("a", 3)(w, now); w.ended(now, "a", 2, 0) }, 2, "a", idle},
+			{0, observe("a", 2), 1, "", pullDelay},
+			{300 * ms, func(s *pullScheduler, now time.Time) {
+				s.startPull(now, "a")
+				observe("a", 3)(s, now)
+				s.finishPull(now, "a", 2, 0)
+			}, 2, "a", maxIdleWait},
 		},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := &wants{peers: map[string]*standing{}}
+			s := &pullScheduler{peers: map[string]*peerState{}}
 			for _, step := range steps {
 				now := start.Add(step.at)
-				step.do(w, now)
-				peer, wait := w.next(now, step.held, func(name string) bool { return name == "far" })
+				step.do(s, now)
+				peer, wait := s.next(now, step.held, func(name string) bool { return name == "far" })
 				is.Equal(peer, step.peer)
 				if peer == "" {
 					is.Equal(wait, step.wait)
@@ -102,7 +107,8 @@
 	}
 }
 
-// TestTargets guards against content sent twice to a node or across regions.
+// TestTargets guards against content that is pushed to a node twice or to another
+// region.
 func TestTargets(t *testing.T) {
 	links := []planner.Link{
 		{Name: "up", Tree: 0, Role: planner.RoleParent},
@@ -127,11 +133,11 @@
 	}
 }
 
-// TestQueue guards against a slow link that takes memory without bound, and
-// against an overflow after which the peer is not told what it lacks.
+// TestQueue guards against unbounded memory use by a slow link, and against an
+// overflow after which the peer is not notified of the newest version.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q, content := queue{}, make([]byte, queueBytes)
+		q, content := queue{}, make([]byte, maxQueuedBytes)
 		sent, received, last := 0, sycamorerun.Version(0), sycamorerun.Version(0)
 		drain := func() {
 			data, ok := q.next()
@@ -155,49 +161,49 @@
 				continue
 			}
 			last++
-			size := rapid.SampledFrom([]int{1, 1 << 10, 200 << 10, queueBytes}).Draw(t, "size")
+			size := rapid.SampledFrom([]int{1, 1 << 10, 200 << 10, maxQueuedBytes}).Draw(t, "size")
 			content[0] = 1
-			q.push(last, content[:size])
+			q.addPush(last, content[:size])
 			sent++
-			if len(q.frames) > queueFrames || q.bytes > queueBytes {
-				t.Fatalf("%d frames, %d bytes", len(q.frames), q.bytes)
+			if len(q.frames) > maxQueuedFrames || q.bytes > maxQueuedBytes {
+				t.Fatalf("queue holds %d frames and %d bytes, more than its limits", len(q.frames), q.bytes)
 			}
 		}
 		for range sent + 1 {
 			drain()
 		}
 		if received != last {
-			t.Fatalf("peer at %s, last is %s", received, last)
+			t.Fatalf("peer received version %s, last queued version is %s", received, last)
 		}
 	})
 }
 
-// TestRing guards against an answer with a gap and against memory without
-// bound.
-func TestRing(t *testing.T) {
+// TestEntryCache guards against replies with a gap and against unbounded memory
+// use.
+func TestEntryCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r ring
+		var c entryCache
 		last := sycamorerun.Version(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			last += sycamorerun.Version(rapid.SampledFrom([]int{1, 1, 1, 1, 1, 1, 7}).Draw(t, "step"))
-			r.chain(last, last-1, make([]byte, rapid.SampledFrom([]int{1, 1000, ringBytes / 4, ringBytes}).Draw(t, "size")))
-			if r.bytes > ringBytes || len(r.entries) > ringEntries {
-				t.Fatalf("%d bytes, %d entries", r.bytes, len(r.entries))
+			c.add(last, last-1, make([]byte, rapid.SampledFrom([]int{1, 1000, maxCachedBytes / 4, maxCachedBytes}).Draw(t, "size")))
+			if c.bytes > maxCachedBytes || len(c.entries) > maxCachedEntries {
+				t.Fatalf("cache holds %d bytes and %d entries, more than its limits", c.bytes, len(c.entries))
 			}
 		}
 		after := sycamorerun.Version(rapid.IntRange(0, int(last)).Draw(t, "after"))
-		entries, _, ok := r.after(after)
+		entries, _, ok := c.after(after)
 		if ok && sycamorerun.Version(len(entries)) != last-after {
-			t.Fatalf("%d entries after %s of %s", len(entries), after, last)
+			t.Fatalf("got %d entries after version %s, newest is %s", len(entries), after, last)
 		}
-		if _, held := r.get(after + 1); held != ok && after < last {
-			t.Fatalf("get %v, after %v", held, ok)
+		if _, held := c.get(after + 1); held != ok && after < last {
+			t.Fatalf("get found the next entry: %v, after found it: %v", held, ok)
 		}
 	})
 }
 
-// TestSlotVersion guards against a standby that takes an old slot for a new
-// version or the reverse.
+// TestSlotVersion guards against a standby that mistakes an old version in a slot
+// for a new one or the reverse.
 func TestSlotVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		held := rapid.Uint64Range(0, 1<<40).Draw(t, "held")
@@ -205,51 +211,52 @@
 		version -= min(version, persister.RingSlots/2-1)
 		got := slotVersion(persister.LogKey(sycamorerun.Version(version)), sycamorerun.Version(held))
 		if got != sycamorerun.Version(version) {
-			t.Fatalf("version %d at %d became %s", version, held, got)
+			t.Fatalf("slot of version %d, held version %d: got version %s", version, held, got)
 		}
 	})
 }
 
-// TestReply guards against an answer larger than needed, and against one that
-// leaves a gap after a snapshot.
+// TestReply guards against a reply that is larger than necessary, and against one
+// that leaves a gap after a snapshot.
 func TestReply(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
-	d, _ := solo()
+	d, _ := newIsolatedNode()
 	for range 200 {
-		d.Learn(start, store.next())
+		d.ApplyCommitted(start, store.nextEntry())
 	}
-	reply, _ := d.reply(199, false)
+	reply, _ := d.buildReply(199, false)
 	is.Equal(len(reply.GetEntries()), 1)
-	reply, large := d.reply(10, false)
+	reply, large := d.buildReply(10, false)
 	is.True(reply.GetSnapshot() != nil && large) // 190 entries exceed the tree of 7 services
-	reply, _ = d.reply(200, false)
+	reply, _ = d.buildReply(200, false)
 	is.True(reply.GetSnapshot() == nil && reply.GetEntries() == nil)
-	follower, a := solo()
-	reply, _ = d.reply(0, false)
-	is.NoErr(follower.absorb(start, "peer", reply))
+	follower, a := newIsolatedNode()
+	reply, _ = d.buildReply(0, false)
+	is.NoErr(follower.acceptReply(start, "peer", reply))
 	is.Equal(a.Current().Tree.Version, sycamorerun.Version(200))
-	reply, _ = follower.reply(199, false)
+	reply, _ = follower.buildReply(199, false)
 	is.True(reply.GetSnapshot() != nil)
 	entry, ok := d.Entry(150)
 	is.True(ok)
 	is.Equal(entry.Version, sycamorerun.Version(150))
 }
 
-// TestBusy guards against a herd of pulls that takes all of a node's memory.
-func TestBusy(t *testing.T) {
+// TestLargeReplyLimit guards against many simultaneous pulls that exhaust a node's
+// memory.
+func TestLargeReplyLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		d, _ := solo()
+		d, _ := newIsolatedNode()
 		for range 200 {
-			d.Learn(start, store.next())
+			d.ApplyCommitted(start, store.nextEntry())
 		}
 		busy, served := 0, 0
 		var streams []net.Conn
 		for range 20 {
 			near, far := net.Pipe()
 			go d.Serve(t.Context(), "peer", far)
-			_, _ = encoder.Write(near, want(0, false))
+			_, _ = encoder.Write(near, newWant(0, false))
 			synctest.Wait()
 			streams = append(streams, near)
 		}
@@ -265,21 +272,21 @@
 			}
 			_ = stream.Close()
 		}
-		if served != maxServed || busy != 20-maxServed {
-			t.Errorf("%d served, %d busy", served, busy)
+		if served != maxLargeReplies || busy != 20-maxLargeReplies {
+			t.Errorf("%d pulls served, %d refused as busy", served, busy)
 		}
 	})
 }
 
-// TestSilentPeers guards against pulls from stalled peers that keep a node from
-// a peer that answers until the change is overdue.
+// TestSilentPeers guards against pulls from stalled peers that delay the pull from
+// a responding peer until the change is overdue.
 func TestSilentPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		source, _ := solo()
-		d, a := solo()
+		source, _ := newIsolatedNode()
+		d, a := newIsolatedNode()
 		for range 5 {
-			source.Learn(start, store.next())
+			source.ApplyCommitted(start, store.nextEntry())
 		}
 		d.Open = func(_ context.Context, peer, _ string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -292,49 +299,49 @@
 		}
 		go func() { _ = d.Run(t.Context()) }()
 		synctest.Wait()
-		d.Heard("silent", 5)
-		d.Heard("stalled", 5)
+		d.ObserveHeartbeat("silent", 5)
+		d.ObserveHeartbeat("stalled", 5)
 		time.Sleep(1500 * time.Millisecond)
-		d.Heard("answering", 5)
+		d.ObserveHeartbeat("answering", 5)
 		time.Sleep(2 * time.Second)
 		if version := a.Current().Tree.Version; version != 5 {
-			t.Errorf("version %s", version)
+			t.Errorf("version %s in force, want 5", version)
 		}
 	})
 }
 
-// TestAlone guards against a store that is read in full by each node of a fleet
-// that restarts, before the nodes know each other.
-func TestAlone(t *testing.T) {
+// TestBootstrapWithoutPeers guards against a fleet restart in which each node reads
+// the whole log before the nodes know each other.
+func TestBootstrapWithoutPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
 		store.commit(3)
-		d, a := solo()
-		d.Store = store.store(0, func() bool { return true })
+		d, a := newIsolatedNode()
+		d.Store = store.client(0, func() bool { return true })
 		d.Plan = func() planner.Plan { return planner.Plan{Watch: planner.Primary} }
 		go func() { _ = d.Run(t.Context()) }()
 		go func() { _ = d.Bootstrap(t.Context()) }()
-		time.Sleep(solitude - time.Millisecond)
-		store.set(func() {
+		time.Sleep(peerDiscoveryDelay - time.Millisecond)
+		store.update(func() {
 			if store.cost.calls != 0 {
-				t.Errorf("%d store calls", store.cost.calls)
+				t.Errorf("%d store calls before the peer discovery delay ended", store.cost.calls)
 			}
 		})
 		time.Sleep(5 * time.Second)
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		if !d.Ready() || a.Current().Tree.Version != 3 || d.role != planner.Primary {
-			t.Errorf("ready %v, version %s, role %s", d.Ready(), a.Current().Tree.Version, d.role)
+		if !d.Ready() || a.Current().Tree.Version != 3 || d.activeRole != planner.Primary {
+			t.Errorf("ready %v, version %s, role %s", d.Ready(), a.Current().Tree.Version, d.activeRole)
 		}
 	})
 }
 
-// TestRefused guards against a node that stops at a version that it refuses:
-// the version after it takes force, and the refused one is passed on.
+// TestRefused guards against a node that gets stuck at a version that it refuses.
+// Later versions must take force, and the refused entry must be forwarded.
 func TestRefused(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
-	d, a := solo()
+	d, a := newIsolatedNode()
 	a.Validate = func(items map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
 		if strings.Contains(string(items["quoting/service/desk-3"]), ":3}") {
 			return []sycamorerun.Fault{{Code: "test"}}
@@ -343,7 +350,7 @@
 	}
 	versions := []sycamorerun.Version{}
 	for range 12 {
-		d.Learn(start, store.next())
+		d.ApplyCommitted(start, store.nextEntry())
 		versions = append(versions, a.Current().Tree.Version)
 	}
 	is.Equal(versions, []sycamorerun.Version{1, 2, 2, 2, 2, 2, 2, 2, 2, 10, 11, 12})
@@ -352,10 +359,10 @@
 	is.True(ok)
 }
 
-// TestOld guards against late copies that take a node back behind a version
-// that it refused or are passed on again, and against a gap that looks like
-// damage, for which nobody would be asked again.
-func TestOld(t *testing.T) {
+// TestOutdatedContent guards against late duplicates that return a node to a
+// version before the one that it refused or that are forwarded again, and against
+// a gap reported as damage, after which no pull would follow.
+func TestOutdatedContent(t *testing.T) {
 	cases := map[string]struct {
 		offer func(d *Distributor, store *fakeStore, entries []sycamorerun.Entry) error
 		err   error
@@ -365,39 +372,39 @@
 		"entry after gap": {func(d *Distributor, _ *fakeStore, e []sycamorerun.Entry) error { return d.accept(start, e[4], nil, "") }, errGap},
 		"tree in force": {func(d *Distributor, s *fakeStore, e []sycamorerun.Entry) error {
 			tree := differ.Apply(sycamorerun.Tree{}, 1, e[0].Difference)
-			return d.install(start, tree, s.hashes[1], "")
+			return d.installSnapshot(start, tree, s.hashes[1], "")
 		}, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			store := newStore()
-			d, a := solo()
+			d, a := newIsolatedNode()
 			a.Validate = func(map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
 				return make([]sycamorerun.Fault, a.Current().Tree.Version/2)
 			}
-			entries := []sycamorerun.Entry{store.next(), store.next(), store.next(), store.next(), store.next()}
+			entries := []sycamorerun.Entry{store.nextEntry(), store.nextEntry(), store.nextEntry(), store.nextEntry(), store.nextEntry()}
 			for _, entry := range entries[:3] {
-				d.Learn(start, entry)
+				d.ApplyCommitted(start, entry)
 			}
-			is.Equal(d.Held(), sycamorerun.Version(3))
+			is.Equal(d.HeldVersion(), sycamorerun.Version(3))
 			is.Equal(a.Current().Tree.Version, sycamorerun.Version(2))
 			for len(d.wakePull) > 0 {
 				<-d.wakePull
 			}
 			err := c.offer(d, store, entries)
 			is.True(errors.Is(err, c.err))
-			is.Equal(d.Held(), sycamorerun.Version(3))
-			is.Equal(len(d.wakePull), 0) // nothing was passed on
+			is.Equal(d.HeldVersion(), sycamorerun.Version(3))
+			is.Equal(len(d.wakePull), 0) // nothing was forwarded
 			a.Validate = nil
-			d.Learn(start, entries[3])
+			d.ApplyCommitted(start, entries[3])
 			is.Equal(a.Current().Hash, store.hashes[4])
 		})
 	}
 }
 
-// TestStaleLog guards against a node that follows a store which lost what the
-// node has in force, as if the newer versions had never been.
+// TestStaleLog guards against a node that continues to watch a store which has lost
+// the version that the node has in force.
 func TestStaleLog(t *testing.T) {
 	older, _ := persister.EncodeEntry(sycamorerun.Entry{Version: 7})
 	same, _ := persister.EncodeEntry(sycamorerun.Entry{Version: 7 + persister.RingSlots})
@@ -417,9 +424,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d, _ := solo()
+			d, _ := newIsolatedNode()
 			d.Store.Get = func(context.Context, string) (persister.Object, error) { return c.object, c.err }
-			revision, wrapped, err := d.anchor(t.Context(), 7+persister.RingSlots)
+			revision, wrapped, err := d.entryRevision(t.Context(), 7+persister.RingSlots)
 			is.Equal(errors.Is(err, errStale), c.stale)
 			is.Equal(err == nil, !c.stale && c.err == nil)
 			is.Equal(wrapped, c.wrapped)
@@ -428,12 +435,11 @@
 	}
 }
 
-// TestDamaged guards against content that was changed on its way taking force,
-// including a change of the version alone, which the tree's hash does not
-// cover.
+// TestDamaged guards against content that was corrupted in transit and still takes
+// force, including a changed version number, which the tree's hash does not cover.
 func TestDamaged(t *testing.T) {
 	store := newStore()
-	entry := store.next()
+	entry := store.nextEntry()
 	data, _ := persister.EncodeEntry(entry)
 	later := entry
 	later.Version = 2
@@ -448,39 +454,39 @@
 	}
 	for name, message := range cases {
 		t.Run(name, func(t *testing.T) {
-			d, a := solo()
-			err := d.pushed(start, "peer", message)
+			d, a := newIsolatedNode()
+			err := d.handlePush(start, "peer", message)
 			is.New(t).True(err != nil)
 			is.New(t).Equal(a.Current().Tree.Version, sycamorerun.Version(0))
 		})
 	}
 }
 
-// FuzzServe guards against input from a peer that panics, hangs or puts a
-// version in force that is not the accepted one.
+// FuzzServe guards against peer input that causes a panic or a hang, or that puts
+// content in force that was never accepted.
 func FuzzServe(f *testing.F) {
 	store := newStore()
 	var frames []byte
 	for range 3 {
-		entry := store.next()
+		entry := store.nextEntry()
 		data, _ := persister.EncodeEntry(entry)
-		frames = append(frames, frame(push(entry.Version, data))...)
-		frames = append(frames, frame(want(0, false))...)
+		frames = append(frames, encodeFrame(newPush(entry.Version, data))...)
+		frames = append(frames, encodeFrame(newWant(0, false))...)
 	}
 	f.Add(frames)
 	for _, base := range []sycamorerun.Version{3, 4, 9} {
-		entry := store.next()
+		entry := store.nextEntry()
 		entry.Version, entry.Base = 9, base
 		data, _ := persister.EncodeEntry(entry)
-		f.Add(slices.Concat(frames, frame(push(9, data)), frame(want(3, false))))
+		f.Add(slices.Concat(frames, encodeFrame(newPush(9, data)), encodeFrame(newWant(3, false))))
 	}
 	tree := differ.Hash(store.tree.Items)
 	data, _ := persister.EncodeSnapshot(store.tree, tree)
-	f.Add(slices.Concat(frame(have(7, true)), frame(&Message{Kind: &Message_Survey{Survey: &Survey{}}}), []byte{0, 0, 0, 9, 1}))
-	f.Add(frame(&Reply{Version: 3, Snapshot: pack(data)}))
+	f.Add(slices.Concat(encodeFrame(newHave(7, true)), encodeFrame(&Message{Kind: &Message_Survey{Survey: &Survey{}}}), []byte{0, 0, 0, 9, 1}))
+	f.Add(encodeFrame(&Reply{Version: 3, Snapshot: pack(data)}))
 	f.Add([]byte{255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, input []byte) {
-		d, a := solo()
+		d, a := newIsolatedNode()
 		near, far := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, near) }()
 		go func() {
@@ -489,7 +495,7 @@
 		}()
 		d.Serve(context.Background(), "peer", far)
 		if reply, err := readReply(bytes.NewReader(input)); err == nil {
-			_ = d.absorb(start, "peer", reply)
+			_ = d.acceptReply(start, "peer", reply)
 		}
 		if report, err := encoder.Read[Report](bytes.NewReader(input), surveyFrameBytes); err == nil {
 			_ = toReport(fromReport(report))
--- a/node/distributor/document.go
+++ b/node/distributor/document.go
@@ -13,37 +13,39 @@
 	"sycamorerun/persister"
 )
 
-// Document is a configuration that operators write into the store as one
-// document. Versions grow with gaps. Both functions return when ctx ends; their
-// errors include persister.ErrMissing while there is no document.
+// Document gives access to a configuration that operators write into the store
+// as a single document. Its versions increase, possibly with gaps. Both functions
+// return when ctx is done and return persister.ErrMissing while there is no
+// document.
 type Document struct {
-	// Read returns the document and the revision to watch from.
+	// Read returns the document and the revision from which to watch.
 	Read func(ctx context.Context) (sycamorerun.Tree, persister.Revision, error)
-	// Watch waits for up to 3 s until the document is written above a revision.
-	// It returns the revision for the next call. The error
-	// persister.ErrCompacted means that the document is to be read again.
+	// Watch waits for up to 3 s for a write of the document after a revision and
+	// returns the revision for the next call. After persister.ErrCompacted the
+	// document must be read again.
 	Watch func(ctx context.Context, after persister.Revision) (tree sycamorerun.Tree, next persister.Revision, changed bool, err error)
 }
 
 const (
-	// documentWait is the longest wait of a watch at the store, documentMargin
-	// the time for the answer. Together they bound how long a silent
-	// connection is waited for.
-	documentWait   = 3 * time.Second
-	documentMargin = 1500 * time.Millisecond
-	// documentRead bounds a read of a store that is slow.
-	documentRead = 2500 * time.Millisecond
-	// documentRetryLeast and documentRetryMost bound the delay after a failed
+	// documentWatchWait is the longest wait of a watch in the store, and
+	// documentWatchMargin the time for its response. Their sum bounds the wait
+	// on a silent connection.
+	documentWatchWait   = 3 * time.Second
+	documentWatchMargin = 1500 * time.Millisecond
+	// documentReadTimeout bounds a read from a slow store.
+	documentReadTimeout = 2500 * time.Millisecond
+	// minDocumentRetry and maxDocumentRetry bound the delay after a failed
 	// call.
-	documentRetryLeast = 100 * time.Millisecond
-	documentRetryMost  = time.Second
-	// documentPullDelay is how long a node waits for a push after a Have.
-	// Watchers can be leaves of the trees, from which a version travels up
-	// through several Haves.
+	minDocumentRetry = 100 * time.Millisecond
+	maxDocumentRetry = time.Second
+	// documentPullDelay is how long a node waits for a push after a Have. It is
+	// short because a watcher can be a leaf of the trees, from which a version
+	// travels up through several Haves.
 	documentPullDelay = 100 * time.Millisecond
-	// recentTrees is how many trees a node keeps to apply entries of watchers
-	// that missed a version in between. They share their items.
-	recentTrees = 4
+	// maxRecentTrees is the number of earlier trees that a node keeps, so that
+	// it can apply entries from watchers that skipped a version. The trees share
+	// their items.
+	maxRecentTrees = 4
 )
 
 func (d *Distributor) pullDelay() time.Duration {
@@ -53,29 +55,29 @@
 	return pullDelay
 }
 
-// base returns the tree of the held version, which may be a refused one.
-func (d *Distributor) base() sycamorerun.Tree {
-	if d.refused != nil {
-		return *d.refused
+// heldTree returns the tree of the held version, which may be refused.
+func (d *Distributor) heldTree() sycamorerun.Tree {
+	if d.refusedTree != nil {
+		return *d.refusedTree
 	}
 	tree, _ := d.Current()
 	return tree
 }
 
-// remember keeps a tree that was held; the caller holds accepting.
-func (d *Distributor) remember(tree sycamorerun.Tree) {
+// addRecentTree keeps a tree that was held. The caller holds d.acceptMutex.
+func (d *Distributor) addRecentTree(tree sycamorerun.Tree) {
 	if d.Document == nil || tree.Version == 0 {
 		return
 	}
-	d.recent = append(d.recent, tree)
-	if len(d.recent) > recentTrees {
-		d.recent = append([]sycamorerun.Tree{}, d.recent[1:]...)
+	d.recentTrees = append(d.recentTrees, tree)
+	if len(d.recentTrees) > maxRecentTrees {
+		d.recentTrees = append([]sycamorerun.Tree{}, d.recentTrees[1:]...)
 	}
 }
 
-// recall returns a tree that was held; the caller holds accepting.
-func (d *Distributor) recall(version sycamorerun.Version) (sycamorerun.Tree, bool) {
-	for _, tree := range d.recent {
+// recentTree returns a tree that was held. The caller holds d.acceptMutex.
+func (d *Distributor) recentTree(version sycamorerun.Version) (sycamorerun.Tree, bool) {
+	for _, tree := range d.recentTrees {
 		if tree.Version == version {
 			return tree, true
 		}
@@ -83,99 +85,99 @@
 	return sycamorerun.Tree{}, false
 }
 
-// advance puts a whole tree in force. It is passed on as an entry based on the
-// version held before, which the nodes below hold too. The caller holds
-// accepting and has compared the versions.
-func (d *Distributor) advance(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, written time.Time, source string) error {
-	before := d.base()
-	if err := d.settle(tree, hash, d.Install(now, tree, hash)); err != nil {
+// installWithEntry installs a complete tree and forwards it as an entry based on
+// the previously held version, which the nodes below usually hold too. The caller
+// holds d.acceptMutex and has checked that the tree is newer.
+func (d *Distributor) installWithEntry(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash, acceptedAt time.Time, source string) error {
+	previous := d.heldTree()
+	if err := d.recordHeld(tree, hash, d.Install(now, tree, hash)); err != nil {
 		return err
 	}
-	d.remember(before)
+	d.addRecentTree(previous)
 	var data []byte
-	if before.Version > 0 {
+	if previous.Version > 0 {
 		var err error
 		data, err = persister.EncodeEntry(sycamorerun.Entry{
-			Version: tree.Version, Base: before.Version, Hash: hash, Time: written,
-			Difference: differ.Compare(before.Items, tree.Items),
+			Version: tree.Version, Base: previous.Version, Hash: hash, Time: acceptedAt,
+			Difference: differ.Compare(previous.Items, tree.Items),
 		})
 		if err != nil {
-			level.Warn(d.Logger).Log("msg", "difference not packed; peers pull a snapshot", "version", tree.Version, "err", err)
+			level.Warn(d.Logger).Log("msg", "encoding the difference failed; peers will pull a snapshot", "version", tree.Version, "err", err)
 			data = nil
 		}
 	}
 	d.mutex.Lock()
 	if data == nil {
-		d.ring = ring{}
+		d.entryCache = entryCache{}
 	} else {
-		d.ring.chain(tree.Version, before.Version, data)
+		d.entryCache.add(tree.Version, previous.Version, data)
 	}
 	d.mutex.Unlock()
 	d.forward(tree.Version, data, source)
 	return nil
 }
 
-// take accepts a tree from the store. One that is not newer than the held
-// version is ignored.
-func (d *Distributor) take(now time.Time, tree sycamorerun.Tree) error {
+// acceptDocument accepts a tree from the store. A tree that is not newer than the
+// held version is ignored.
+func (d *Distributor) acceptDocument(now time.Time, tree sycamorerun.Tree) error {
 	hash := differ.Hash(tree.Items)
-	d.accepting.Lock()
-	defer d.accepting.Unlock()
-	if held := d.Held(); tree.Version <= held {
+	d.acceptMutex.Lock()
+	defer d.acceptMutex.Unlock()
+	if held := d.HeldVersion(); tree.Version <= held {
 		if tree.Version < held {
 			d.count("distributor_stale_documents", 1)
 		}
 		return nil
 	}
-	return d.advance(now, tree, hash, now, "")
+	return d.installWithEntry(now, tree, hash, now, "")
 }
 
-// documentRole is the role in the plan. A node that is not ready leaves the
-// store to Bootstrap. A standby watches as well: the documents' watchers have
-// no order.
+// documentRole returns the node's role in watching the document. A node that is
+// not ready has none, since only Bootstrap reads the store until then. A standby
+// watches like a primary, since watchers of a document have no order.
 func (d *Distributor) documentRole(plan planner.Plan) planner.Watch {
 	switch {
 	case !d.Ready():
 		return planner.None
-	case d.Mode == Poll, d.taken.Load(), plan.Watch == planner.Standby:
+	case d.Mode == Poll, d.takeover.Load(), plan.Watch == planner.Standby:
 		return planner.Primary
 	}
 	return plan.Watch
 }
 
-// watchDocument follows the document in the role that the plan gives this node.
+// watchDocument watches the document in the role that the plan gives this node.
 func (d *Distributor) watchDocument(ctx context.Context) {
 	for ctx.Err() == nil {
-		role, following := d.beginWatch(ctx)
+		role, watchCtx := d.startWatch(ctx)
 		if role != d.watchRole(d.Plan()) {
 			continue
 		}
 		if role == planner.None {
-			d.standAside(ctx)
+			d.waitForRole(ctx)
 			continue
 		}
-		err := d.followDocument(following)
-		if following.Err() != nil {
+		err := d.followDocument(watchCtx)
+		if watchCtx.Err() != nil {
 			continue
 		}
-		level.Warn(d.Logger).Log("msg", "watch of the document failed; retrying", "err", err)
-		// A store that answers, but not with a document to follow, gets no
-		// quick retries.
-		delay := documentRetryMost
-		if failures := d.reach.failed(); failures > 0 {
-			delay = backoff(failures, documentRetryLeast, documentRetryMost, d.Random())
+		level.Warn(d.Logger).Log("msg", "document watch failed; retrying", "err", err)
+		// No quick retries if the store responds, but without a usable document.
+		delay := maxDocumentRetry
+		if failures := d.storeHealth.consecutiveFailures(); failures > 0 {
+			delay = backoff(failures, minDocumentRetry, maxDocumentRetry, d.Random())
 		}
-		_ = sleep(following, delay)
+		_ = sleep(watchCtx, delay)
 	}
 }
 
-// standAside waits for a change of the role. A node whose calls failed tries
-// the store from time to time, to be of use again. It watches when it can: the
-// answer has the document only when that has changed.
-func (d *Distributor) standAside(ctx context.Context) {
-	wait := idle
+// waitForRole waits until the role may have changed. A node that is cut off from
+// the store meanwhile probes it, so that it becomes eligible as a watcher again.
+// It probes with a watch if it knows a revision, since the response then contains
+// the document only if that has changed.
+func (d *Distributor) waitForRole(ctx context.Context) {
+	wait := maxIdleWait
 	if d.Ready() {
-		wait = d.reach.wait(time.Now())
+		wait = d.storeHealth.probeDelay(time.Now())
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -183,20 +185,20 @@
 	case <-ctx.Done():
 	case <-d.wakeWatch:
 	case <-timer.C:
-		try := d.readDocument
-		if d.reach.revision() > 0 {
-			try = func(ctx context.Context) error { _, err := d.watchDocumentOnce(ctx); return err }
+		callStore := d.readDocument
+		if d.storeHealth.revision() > 0 {
+			callStore = func(ctx context.Context) error { _, err := d.watchDocumentOnce(ctx); return err }
 		}
-		if err := try(ctx); err != nil {
-			level.Debug(d.Logger).Log("msg", "store not reached", "err", err)
+		if err := callStore(ctx); err != nil {
+			level.Debug(d.Logger).Log("msg", "store probe failed", "err", err)
 		}
 	}
 }
 
-// followDocument watches the document until an error.
+// followDocument watches the document until an error occurs.
 func (d *Distributor) followDocument(ctx context.Context) error {
 	for compacted := false; ctx.Err() == nil; {
-		if d.reach.revision() == 0 {
+		if d.storeHealth.revision() == 0 {
 			if err := d.readDocument(ctx); err != nil {
 				return err
 			}
@@ -211,66 +213,67 @@
 			return err
 		}
 		compacted = false
-		if !changed && time.Since(started) < emptyPause {
-			_ = sleep(ctx, emptyPause)
+		if !changed && time.Since(started) < emptyWatchPause {
+			_ = sleep(ctx, emptyWatchPause)
 		}
 	}
 	return ctx.Err()
 }
 
-// watchDocumentOnce is one watch at the store.
+// watchDocumentOnce makes a single watch call to the store.
 func (d *Distributor) watchDocumentOnce(ctx context.Context) (bool, error) {
-	limited, cancel := context.WithTimeout(ctx, documentWait+documentMargin)
+	callCtx, cancel := context.WithTimeout(ctx, documentWatchWait+documentWatchMargin)
 	defer cancel()
 	d.count("distributor_store_calls", 1)
-	after := d.reach.revision()
+	after := d.storeHealth.revision()
 	started := time.Now()
-	tree, next, changed, err := d.Document.Watch(limited, after)
+	tree, next, changed, err := d.Document.Watch(callCtx, after)
 	switch {
 	case ctx.Err() != nil:
 		return false, ctx.Err()
 	case errors.Is(err, persister.ErrCompacted):
-		d.answered(time.Now(), 0)
-		d.reach.follow(0)
+		d.recordStoreSuccess(time.Now(), 0)
+		d.storeHealth.setRevision(0)
 		return false, err
 	case errors.Is(err, persister.ErrMissing):
-		d.answered(time.Now(), 0)
+		d.recordStoreSuccess(time.Now(), 0)
 		return false, err
 	case err != nil:
 		now := time.Now()
-		if now.Sub(started) >= silentWatch {
-			d.reach.silent()
+		if now.Sub(started) >= silentWatchThreshold {
+			d.storeHealth.recordSilence()
 		}
-		d.unanswered(now)
+		d.recordStoreFailure(now)
 		return false, err
 	}
-	d.answered(time.Now(), 0)
-	d.reach.follow(max(after, next))
+	d.recordStoreSuccess(time.Now(), 0)
+	d.storeHealth.setRevision(max(after, next))
 	if !changed {
 		return false, nil
 	}
-	return true, d.take(time.Now(), tree)
+	return true, d.acceptDocument(time.Now(), tree)
 }
 
-// readDocument is one read of the store. Its latency is the distance.
+// readDocument makes a single read call to the store, whose latency determines
+// the node's distance.
 func (d *Distributor) readDocument(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, documentRead)
+	callCtx, cancel := context.WithTimeout(ctx, documentReadTimeout)
 	defer cancel()
 	d.count("distributor_store_calls", 1)
 	started := time.Now()
-	tree, revision, err := d.Document.Read(limited)
+	tree, revision, err := d.Document.Read(callCtx)
 	now := time.Now()
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case errors.Is(err, persister.ErrMissing):
-		d.answered(now, max(1, now.Sub(started)))
+		d.recordStoreSuccess(now, max(1, now.Sub(started)))
 		return err
 	case err != nil:
-		d.unanswered(now)
+		d.recordStoreFailure(now)
 		return err
 	}
-	d.answered(now, max(1, now.Sub(started)))
-	d.reach.follow(revision)
-	return d.take(now, tree)
+	d.recordStoreSuccess(now, max(1, now.Sub(started)))
+	d.storeHealth.setRevision(revision)
+	return d.acceptDocument(now, tree)
 }
--- a/node/distributor/document_fleet_test.go
+++ b/node/distributor/document_fleet_test.go
@@ -12,8 +12,7 @@
 	"sycamorerun/persister"
 )
 
-// fault is what a member's store does instead of answering, or the member
-// itself.
+// fault is a failure of a member or of the store as seen by that member.
 type fault string
 
 const (
@@ -24,11 +23,12 @@
 	killed  fault = "killed"
 )
 
-// follow returns the document as seen from a member that is delay away.
-func (f *fleet) follow(m *member, delay time.Duration) *Document {
-	// wait looks for a revision above after for some time.
+// newDocument returns the document as seen by a member with a network delay to the
+// store.
+func (f *fleet) newDocument(m *member, delay time.Duration) *Document {
+	// wait polls for a revision above after until limit.
 	wait := func(ctx context.Context, after persister.Revision, limit time.Duration) (sycamorerun.Tree, persister.Revision, error) {
-		f.store.set(func() { f.store.cost.calls++ })
+		f.store.update(func() { f.store.cost.calls++ })
 		for begin := time.Now(); sleep(ctx, delay); {
 			switch f.fault(m) {
 			case rejects:
@@ -55,84 +55,85 @@
 }
 
 func (f *fleet) fault(m *member) (found fault) {
-	f.set(func() { found = m.fault })
+	f.update(func() { found = m.fault })
 	return found
 }
 
 func (f *fleet) fail(kind fault, names ...string) {
 	for _, name := range names {
-		f.set(func() { f.members[name].fault, f.members[name].mute = kind, kind == paused })
+		f.update(func() { f.members[name].fault, f.members[name].stalled = kind, kind == paused })
 		if kind == killed {
 			f.kill(name)
 		}
 	}
 }
 
-// order returns the watchers and their deputies.
-func (f *fleet) order() []string {
+// watchOrder returns the planned watchers followed by their deputies.
+func (f *fleet) watchOrder() []string {
 	plan := planner.New("node-00", f.instances(), f.options)
 	return slices.Concat(plan.Watchers, plan.Deputies)
 }
 
 func (f *fleet) instances() (all []sycamorerun.Instance) {
 	for _, name := range f.names() {
-		f.set(func() { all = append(all, f.members[name].Instance) })
+		f.update(func() { all = append(all, f.members[name].Instance) })
 	}
 	return all
 }
 
-// until returns how long it takes until reached, or fails after a bound.
-func until(t *testing.T, what string, bound time.Duration, reached func() bool) {
+// waitUntil waits until reached returns true and logs the time that it took. The
+// test fails after bound.
+func waitUntil(t *testing.T, what string, bound time.Duration, reached func() bool) {
 	t.Helper()
 	begin := time.Now()
 	for !reached() {
 		if time.Since(begin) > bound {
-			t.Fatalf("not %s after %s", what, bound)
+			t.Fatalf("not %s within %s", what, bound)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	t.Log(what, time.Since(begin))
 }
 
-func (f *fleet) ready(names ...string) func() bool {
+func (f *fleet) allReady(names ...string) func() bool {
 	return func() bool {
 		return !slices.ContainsFunc(names, func(name string) bool { return !f.members[name].process.Load().Ready() })
 	}
 }
 
-// watched reports whether a healthy member watches the store.
-func (f *fleet) watched() bool {
+// storeWatched reports whether a healthy member watches the store.
+func (f *fleet) storeWatched() bool {
 	return slices.ContainsFunc(f.names(), func(name string) bool {
 		m := f.members[name]
 		return f.fault(m) == healthy && m.process.Load().watching(time.Now())
 	})
 }
 
-func runDocument(t *testing.T, scenario func(t *testing.T, f *fleet)) {
+func runDocumentFleet(t *testing.T, scenario func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, Tree, 14)
-		f.options, f.document = planner.Options{Watchers: 3}, f.follow
+		f.options, f.newMemberDocument = planner.Options{Watchers: 3}, f.newDocument
 		defer func() {
 			f.stop()
 			f.fail(healthy, f.names()...)
 			time.Sleep(time.Minute)
 			synctest.Wait()
 		}()
-		f.store.edit(10)
+		f.store.writeDocument(10)
 		scenario(t, f)
 	})
 }
 
-// The targets: a version in force everywhere, the same while the store fails
-// for some members, and a working watcher.
+// Time limits: for a version to be in force on all members, for the same while
+// the store fails for some of them, and for a healthy member to watch the store.
 const (
-	inForce  = 2500 * time.Millisecond
-	impaired = 7500 * time.Millisecond
-	takeover = 3 * time.Second
+	convergeBound = 2500 * time.Millisecond
+	impairedBound = 7500 * time.Millisecond
+	takeoverBound = 3 * time.Second
 )
 
 // TestTakeover guards against a fleet without a working watcher, and against a
-// version that comes late, after some of the first members in the order fail.
+// delayed version, after watchers or deputies fail.
 func TestTakeover(t *testing.T) {
 	type failing struct {
 		fault    fault
@@ -143,85 +144,86 @@
 		watched  time.Duration
 		converge time.Duration
 	}{
-		"watchers killed":                {[]failing{{killed, 0, 3}}, takeover, impaired},
-		"watchers and deputies killed":   {[]failing{{killed, 0, 9}}, takeover, impaired},
-		"watchers paused":                {[]failing{{paused, 0, 3}}, takeover, impaired},
-		"a third rejected":               {[]failing{{rejects, 0, 5}}, takeover, inForce},
-		"watchers killed, next rejected": {[]failing{{killed, 0, 3}, {rejects, 3, 7}}, takeover, impaired},
-		"store silent for the watchers":  {[]failing{{silent, 0, 3}}, impaired, impaired},
+		"watchers killed":                {[]failing{{killed, 0, 3}}, takeoverBound, impairedBound},
+		"watchers and deputies killed":   {[]failing{{killed, 0, 9}}, takeoverBound, impairedBound},
+		"watchers paused":                {[]failing{{paused, 0, 3}}, takeoverBound, impairedBound},
+		"a third rejected":               {[]failing{{rejects, 0, 5}}, takeoverBound, convergeBound},
+		"watchers killed, next rejected": {[]failing{{killed, 0, 3}, {rejects, 3, 7}}, takeoverBound, impairedBound},
+		"store silent for the watchers":  {[]failing{{silent, 0, 3}}, impairedBound, impairedBound},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			runDocument(t, func(t *testing.T, f *fleet) {
+			runDocumentFleet(t, func(t *testing.T, f *fleet) {
 				f.start(f.names()...)
 				time.Sleep(10 * time.Second)
-				for order := f.order(); len(c.failing) > 0; c.failing = c.failing[1:] {
+				for order := f.watchOrder(); len(c.failing) > 0; c.failing = c.failing[1:] {
 					f.fail(c.failing[0].fault, order[c.failing[0].from:c.failing[0].to]...)
 				}
-				f.store.edit(20)
-				until(t, "watched", c.watched, f.watched)
+				f.store.writeDocument(20)
+				waitUntil(t, "watched", c.watched, f.storeWatched)
 				t.Log("in force", mustConverge(t, f, 20, c.converge))
 			})
 		})
 	}
 }
 
-// TestDocumentFleet guards against a start that takes too long or that ends
-// without a version, and against traffic and calls without need.
+// TestDocumentFleet guards against a start that takes too long or completes without
+// a version, and against unnecessary traffic and store calls.
 func TestDocumentFleet(t *testing.T) {
 	cases := map[string]func(t *testing.T, f *fleet){
 		"cold start": func(t *testing.T, f *fleet) {
 			f.start(f.names()...)
-			until(t, "ready", 2*time.Second, f.ready(f.names()...))
+			waitUntil(t, "ready", 2*time.Second, f.allReady(f.names()...))
 			// Each watcher reads and watches once; the others read nothing.
 			if calls := f.cost().calls; calls > 2*3 {
-				t.Errorf("%d calls", calls)
+				t.Errorf("%d store calls during a cold start", calls)
 			}
 		},
 		"cold start, a third rejected": func(t *testing.T, f *fleet) {
-			f.fail(rejects, f.order()[:4]...)
+			f.fail(rejects, f.watchOrder()[:4]...)
 			f.start(f.names()...)
-			until(t, "ready", takeover, f.ready(f.names()...))
+			waitUntil(t, "ready", takeoverBound, f.allReady(f.names()...))
 		},
 		"cold start, store down": func(t *testing.T, f *fleet) {
 			f.fail(rejects, f.names()...)
 			f.start(f.names()...)
 			time.Sleep(10 * time.Second)
-			if slices.ContainsFunc(f.names(), func(name string) bool { return f.ready(name)() }) {
-				t.Error("ready without a version")
+			if slices.ContainsFunc(f.names(), func(name string) bool { return f.allReady(name)() }) {
+				t.Error("member is ready without a version")
 			}
 			f.fail(healthy, f.names()...)
-			until(t, "ready", impaired, f.ready(f.names()...))
+			waitUntil(t, "ready", impairedBound, f.allReady(f.names()...))
 		},
 		"one member restarts, store down": func(t *testing.T, f *fleet) {
 			f.start(f.names()...)
 			time.Sleep(10 * time.Second)
 			f.fail(rejects, f.names()...)
-			last := f.order()[13]
+			last := f.watchOrder()[13]
 			f.kill(last)
 			f.start(last)
-			until(t, "ready", time.Second, f.ready(last))
-			// The other members count as starting too.
+			waitUntil(t, "ready", time.Second, f.allReady(last))
+			// The other members report that they are starting too.
 			f.kill(last)
 			for _, name := range f.names() {
 				f.members[name].process.Load().ready.Store(false)
 			}
 			f.start(last)
-			until(t, "ready among others that start", 2*time.Second, f.ready(last))
+			waitUntil(t, "ready among others that start", 2*time.Second, f.allReady(last))
 		},
 		"burst": func(t *testing.T, f *fleet) {
 			f.start(f.names()...)
 			time.Sleep(10 * time.Second)
 			before := f.cost()
 			for i := range sycamorerun.Version(15) {
-				f.store.edit(20 + 7*i)
+				f.store.writeDocument(20 + 7*i)
 				time.Sleep(200 * time.Millisecond)
 			}
-			t.Log("in force", mustConverge(t, f, 118, inForce))
+			t.Log("in force", mustConverge(t, f, 118, convergeBound))
 			time.Sleep(5 * time.Second)
-			// A member may get an entry of about 100 bytes twice, no snapshot.
+			// A member may receive an entry of about 100 bytes twice, but no
+			// snapshot.
 			if spent := f.cost().since(before, 15); spent.sent > 14*2*150 {
-				t.Errorf("%d bytes a version", spent.sent)
+				t.Errorf("%d bytes sent per version", spent.sent)
 			}
 		},
 		"store comes back": func(t *testing.T, f *fleet) {
@@ -231,17 +233,17 @@
 			time.Sleep(20 * time.Second)
 			before := f.cost()
 			time.Sleep(10 * time.Second)
-			// 11 members without a role call at most once a second, the 3 with
-			// one twice on average.
+			// Each of the 11 members without a role makes at most one call a second,
+			// each of the 3 with a role two on average.
 			if calls := f.cost().calls - before.calls; calls > 10*(11+2*3) {
-				t.Errorf("%d calls", calls)
+				t.Errorf("%d store calls in 10 s while the store is down", calls)
 			}
 			f.fail(healthy, f.names()...)
-			f.store.edit(20)
-			t.Log("in force", mustConverge(t, f, 20, inForce))
+			f.store.writeDocument(20)
+			t.Log("in force", mustConverge(t, f, 20, convergeBound))
 		},
 	}
 	for name, scenario := range cases {
-		t.Run(name, func(t *testing.T) { runDocument(t, scenario) })
+		t.Run(name, func(t *testing.T) { runDocumentFleet(t, scenario) })
 	}
 }
--- a/node/distributor/document_test.go
+++ b/node/distributor/document_test.go
@@ -16,10 +16,11 @@
 	"sycamorerun/persister"
 )
 
-// edit writes a version of the document, in which one of 300 services changes.
-func (s *fakeStore) edit(version sycamorerun.Version) (tree sycamorerun.Tree) {
+// writeDocument writes a version of the document, in which one of 300 services
+// changes.
+func (s *fakeStore) writeDocument(version sycamorerun.Version) (tree sycamorerun.Tree) {
 	put := map[sycamorerun.Path]sycamorerun.Item{"quoting/service/desk": sycamorerun.Item(fmt.Sprintf(`{"slots":%d}`, version))}
-	s.set(func() {
+	s.update(func() {
 		for i := 0; s.tree.Version == 0 && i < 300; i++ {
 			put[sycamorerun.NewPath("quoting", sycamorerun.KindService, fmt.Sprintf("s-%d", i))] = sycamorerun.Item(fmt.Sprintf(`{"slots":%d}`, i*7919%1000+1))
 		}
@@ -31,13 +32,13 @@
 	return tree
 }
 
-// TestChain guards against a node that goes back, that puts a version in force
-// in part, or that makes the nodes below it pull a snapshot, when watchers
-// build on different versions.
-func TestChain(t *testing.T) {
+// TestEntryChain guards against a node that returns to an older version, applies a
+// version partially, or makes the nodes below it pull a snapshot, when entries of
+// several watchers are based on different versions.
+func TestEntryChain(t *testing.T) {
 	s, trees := newStore(), map[sycamorerun.Version]sycamorerun.Tree{}
 	for _, version := range []sycamorerun.Version{3, 7, 12, 20} {
-		trees[version] = s.edit(version)
+		trees[version] = s.writeDocument(version)
 	}
 	entry := func(base, version sycamorerun.Version) sycamorerun.Entry {
 		difference := differ.Compare(trees[base].Items, trees[version].Items)
@@ -64,13 +65,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d, a := solo()
-			follower, b := solo()
+			d, a := newIsolatedNode()
+			follower, b := newIsolatedNode()
 			d.Document, follower.Document = &Document{}, &Document{}
 			for _, version := range c.held {
-				is.NoErr(d.take(start, trees[version]))
+				is.NoErr(d.acceptDocument(start, trees[version]))
 			}
-			is.NoErr(d.take(start, trees[3])) // a stale answer of the store
+			is.NoErr(d.acceptDocument(start, trees[3])) // a stale response of the store
 			failed := false
 			for _, e := range c.entries {
 				data, _ := persister.EncodeEntry(e)
@@ -82,18 +83,18 @@
 				is.Equal(newest.Version, c.want)
 			}
 			is.Equal(differ.Hash(a.Current().Tree.Items), s.hashes[c.want])
-			// A node at the first version gets entries that lead to the newest.
-			is.NoErr(follower.take(start, trees[c.held[0]]))
-			reply, _ := d.reply(c.held[0], false)
+			// A node at the first version receives entries up to the newest.
+			is.NoErr(follower.acceptDocument(start, trees[c.held[0]]))
+			reply, _ := d.buildReply(c.held[0], false)
 			is.True(reply.GetSnapshot() == nil)
-			is.NoErr(follower.absorb(start, "peer", reply))
+			is.NoErr(follower.acceptReply(start, "peer", reply))
 			is.Equal(b.Current().Tree.Version, c.want)
 		})
 	}
 }
 
-// TestWatchDocument guards against a watch that ends, loops without a pause or
-// misses a version after any answer of the store.
+// TestWatchDocument guards against a watch that ends, runs in a busy loop or misses
+// a version after any response of the store.
 func TestWatchDocument(t *testing.T) {
 	type answer struct {
 		version sycamorerun.Version
@@ -113,13 +114,13 @@
 		"gap":         {answers{two}, answers{nine}, 9, time.Second, 4, 1},
 		"stale watch": {answers{two}, answers{{version: 1}, nine}, 9, time.Second, 5, 1},
 		"compacted":   {answers{two, nine}, answers{compacted}, 9, time.Second, 5, 1},
-		// Two reads and two watches in each round, and 1 s between two rounds.
+		// Each round has two reads and two watches and is followed by a delay of 1 s.
 		"compacted forever": {answers{two}, slices.Repeat(answers{compacted}, 100), 2, 10 * time.Second, 48, 1},
 		"stale read":        {answers{two, {version: 1}}, answers{compacted, nine}, 9, time.Second, 6, 1},
 		"unavailable":       {answers{two}, answers{unavailable, nine}, 9, time.Second, 5, 1},
 		"down":              {answers{two}, slices.Repeat(answers{unavailable}, 100), 2, 10 * time.Second, 60, sycamorerun.Unreachable},
 		"silent connection": {answers{two}, answers{silent, nine}, 9, 5 * time.Second, 5, 1},
-		// The second watch is still waiting.
+		// The second watch has not ended yet.
 		"silent store":    {answers{two}, answers{silent, silent}, 2, 5 * time.Second, 5, sycamorerun.Unreachable},
 		"never answering": {answers{silent, silent, nine}, nil, 9, 10 * time.Second, 7, 1},
 		"no document yet": {answers{missing, missing, nine}, nil, 9, 3 * time.Second, 10, 1},
@@ -127,7 +128,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d, a := solo()
+				d, a := newIsolatedNode()
 				calls, distance := 0, 0
 				next := func(ctx context.Context, list *answers) (answer, bool) {
 					calls++
@@ -156,14 +157,14 @@
 						return sycamorerun.Tree{Version: found.version}, after + 1, ok, found.err
 					},
 				}
-				d.Measure = func(_ time.Time, measured int) { distance = measured }
+				d.PublishDistance = func(_ time.Time, measured int) { distance = measured }
 				d.Plan = func() planner.Plan { return planner.Plan{Watch: planner.Primary} }
 				go func() { _ = d.Run(t.Context()) }()
 				go func() { _ = d.Bootstrap(t.Context()) }()
-				time.Sleep(documentPatience + documentPatience/2 + documentRound + c.within)
+				time.Sleep(documentPeerWait + documentPeerWait/2 + documentRoundPause + c.within)
 				synctest.Wait()
 				if held := a.Current().Tree.Version; held != c.want || calls > c.calls || distance != c.distance {
-					t.Errorf("version %s, %d calls, distance %d", held, calls, distance)
+					t.Errorf("version %s in force after %d store calls, distance %d", held, calls, distance)
 				}
 			})
 		})
--- a/node/distributor/fallback_test.go
+++ b/node/distributor/fallback_test.go
@@ -9,9 +9,9 @@
 	"sycamorerun/node/planner"
 )
 
-// Guards against a node that stays behind for as long as it takes to declare
-// its parent failed, against one that asks around without need, and against a
-// herd of nodes without parents that reads the store each second.
+// TestFallback guards against a node that lacks new versions until its parent is
+// detected as failed, against unnecessary requests to other peers, and against
+// many nodes with silent parents that all read the store each second.
 func TestFallback(t *testing.T) {
 	start := time.Unix(1000, 0)
 	links := []planner.Link{
@@ -20,10 +20,10 @@
 		{Name: "up", Tree: 0, Role: planner.RoleParent},
 	}
 	cases := map[string]struct {
-		links  []planner.Link
-		heard  string
-		asks   int
-		stores int
+		links         []planner.Link
+		heartbeatFrom string
+		asks          int
+		stores        int
 	}{
 		"silent parent":      {links, "", 8, 4},
 		"parent heard":       {links, "up", 0, 0},
@@ -37,9 +37,9 @@
 			asks, stores := 0, 0
 			for second := range 11 {
 				now := start.Add(time.Duration(second) * time.Second)
-				p.follow(now, c.links)
-				p.hear(now, c.heard)
-				peers, store := p.fallback(now)
+				p.update(now, c.links)
+				p.observeHeartbeat(now, c.heartbeatFrom)
+				peers, store := p.fallbackSources(now)
 				if peers {
 					asks++
 				}
@@ -53,14 +53,15 @@
 	}
 }
 
-// Guards against a new parent that counts as silent before it could speak.
-func TestNewParentStartsAsHeard(t *testing.T) {
+// TestNewParentIsNotSilent guards against a new parent that counts as silent before
+// it could send a heartbeat.
+func TestNewParentIsNotSilent(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	p := parent{name: "old", heard: start.Add(-time.Hour), periods: 7}
-	p.follow(start, []planner.Link{{Name: "new", Tree: 0, Role: planner.RoleParent}})
-	peers, store := p.fallback(start.Add(time.Second))
+	p := parent{name: "old", lastHeartbeat: start.Add(-time.Hour), silentPeriods: 7}
+	p.update(start, []planner.Link{{Name: "new", Tree: 0, Role: planner.RoleParent}})
+	peers, store := p.fallbackSources(start.Add(time.Second))
 	is.Equal(peers, false)
 	is.Equal(store, false)
-	is.Equal(p.periods, uint(0))
+	is.Equal(p.silentPeriods, uint(0))
 }
--- a/node/distributor/fleet_test.go
+++ b/node/distributor/fleet_test.go
@@ -25,8 +25,8 @@
 	"sycamorerun/persister"
 )
 
-// TestMain makes the compressor create its channel outside any synctest
-// bubble, since the tests share it.
+// TestMain makes the compressor create its channel outside of any synctest bubble,
+// since all tests share the compressor.
 func TestMain(m *testing.M) {
 	if _, err := encoder.Pack(&encoder.Entry{}); err != nil {
 		panic(err)
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// fakeStore is an object store in memory whose log is written by commit.
+// fakeStore is an in-memory object store whose log is written by commit.
 type fakeStore struct {
 	mutex    sync.Mutex
 	history  []persister.Object
@@ -46,9 +46,9 @@
 
 	down      bool
 	compacted persister.Revision
-	// stale hides the writes above a revision; zero shows all.
-	stale persister.Revision
-	// damage changes what is read.
+	// staleAfter hides the writes above a revision, or none if zero.
+	staleAfter persister.Revision
+	// damage alters the values that are read.
 	damage func([]byte) []byte
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-func (s *fakeStore) set(change func()) {
+func (s *fakeStore) update(change func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change()
@@ -72,8 +72,8 @@
 	s.history = append(s.history, persister.Object{Key: key, Value: value, Revision: s.revision})
 }
 
-// next makes the next version: one service's slots change.
-func (s *fakeStore) next() sycamorerun.Entry {
+// nextEntry creates the next version, in which the slots of one service change.
+func (s *fakeStore) nextEntry() sycamorerun.Entry {
 	version := s.tree.Version + 1
 	path := sycamorerun.NewPath("quoting", sycamorerun.KindService, fmt.Sprintf("desk-%d", version%7))
 	difference := sycamorerun.Difference{Put: map[sycamorerun.Path]sycamorerun.Item{
@@ -84,11 +84,11 @@
 	return sycamorerun.Entry{Version: version, Hash: s.hashes[version], Difference: difference}
 }
 
-// commit accepts n versions.
+// commit writes n versions to the log.
 func (s *fakeStore) commit(n int) {
-	s.set(func() {
+	s.update(func() {
 		for range n {
-			entry := s.next()
+			entry := s.nextEntry()
 			data, _ := persister.EncodeEntry(entry)
 			s.write(persister.LogKey(entry.Version), data)
 			if entry.Version%256 == 0 {
@@ -99,8 +99,8 @@
 	})
 }
 
-// cost counts what distribution takes: store calls, the bytes that the store
-// answers and that peers send, and of both those that cross regions.
+// cost counts the store calls, the bytes that the store returns, the bytes that
+// peers send, and how many of these bytes cross regions.
 type cost struct{ calls, answered, sent, crossed int }
 
 func (c *cost) add(n *int, bytes int, distance time.Duration) {
@@ -116,22 +116,22 @@
 	}
 }
 
-// newest returns the last version that a node can learn of from the store.
-func (s *fakeStore) newest() sycamorerun.Version {
+// newestVisible returns the newest version that a node can read from the store.
+func (s *fakeStore) newestVisible() sycamorerun.Version {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.down || s.stale > 0 {
+	if s.down || s.staleAfter > 0 {
 		return 0
 	}
 	return s.tree.Version
 }
 
-// visible returns the objects under prefix between two revisions, as the
-// store's present state or, for a watch, as its history.
-func (s *fakeStore) visible(prefix string, after persister.Revision, watch, keysOnly bool, distance time.Duration) persister.Listing {
+// listing returns the objects under prefix after a revision: their latest state or,
+// for a watch, their history.
+func (s *fakeStore) listing(prefix string, after persister.Revision, watch, keysOnly bool, distance time.Duration) persister.Listing {
 	limit := s.revision
-	if s.stale > 0 {
-		limit = s.stale
+	if s.staleAfter > 0 {
+		limit = s.staleAfter
 	}
 	latest := map[string]persister.Object{}
 	listing := persister.Listing{Revision: limit}
@@ -162,9 +162,9 @@
 	return listing
 }
 
-// store returns the calls as seen from a node that is delay away.
-func (s *fakeStore) store(delay time.Duration, reachable func() bool) persister.Store {
-	look := func() (func(), error) {
+// client returns the store as seen by a node with a network delay to it.
+func (s *fakeStore) client(delay time.Duration, reachable func() bool) persister.Store {
+	lock := func() (func(), error) {
 		time.Sleep(delay)
 		s.mutex.Lock()
 		if s.down || !reachable() {
@@ -177,7 +177,7 @@
 		s.mutex.Lock()
 		s.cost.calls++
 		s.mutex.Unlock()
-		return look()
+		return lock()
 	}
 	return persister.Store{
 		Get: func(_ context.Context, key string) (persister.Object, error) {
@@ -186,7 +186,7 @@
 				return persister.Object{}, err
 			}
 			defer unlock()
-			listing := s.visible(key, 0, false, false, delay)
+			listing := s.listing(key, 0, false, false, delay)
 			if len(listing.Objects) == 0 {
 				return persister.Object{}, persister.ErrMissing
 			}
@@ -198,13 +198,13 @@
 				return persister.Listing{}, err
 			}
 			defer unlock()
-			return s.visible(prefix, after, false, false, delay), nil
+			return s.listing(prefix, after, false, false, delay), nil
 		},
 		Watch: func(ctx context.Context, prefix string, after persister.Revision, keysOnly bool) (persister.Listing, error) {
 			unlock, err := call()
-			for ; err == nil; unlock, err = look() {
+			for ; err == nil; unlock, err = lock() {
 				changed, compacted := s.changed, after < s.compacted
-				listing := s.visible(prefix, after, true, keysOnly, delay)
+				listing := s.listing(prefix, after, true, keysOnly, delay)
 				unlock()
 				if compacted {
 					return persister.Listing{}, persister.ErrCompacted
@@ -229,17 +229,18 @@
 	process atomic.Pointer[process]
 	plan    atomic.Pointer[planner.Plan]
 	up      bool
-	// mute makes the member read nothing from its streams.
-	mute bool
-	// cut separates the member from the store and from peers of other zones.
-	cut bool
-	// lost counts the heartbeats since it was last up, not mute and not cut.
-	lost int
-	// fault is how the member or its document's store fails.
+	// stalled stops the member from reading its streams.
+	stalled bool
+	// isolated separates the member from the store and from peers in other zones.
+	isolated bool
+	// missedHeartbeats counts the heartbeats since the member was last up and
+	// neither stalled nor isolated.
+	missedHeartbeats int
+	// fault is the failure of the member or of the store as seen by it.
 	fault fault
 }
 
-// process is one life of a member.
+// process is a member from its start to its stop.
 type process struct {
 	*Distributor
 	applier *applier.Applier
@@ -256,15 +257,17 @@
 	members map[string]*member
 	store   *fakeStore
 	mutex   sync.Mutex
-	// noise disturbs what is written, when it is set.
-	noise func(write func([]byte) error, data []byte) error
-	ctx   context.Context
-	stop  context.CancelFunc
-	t     *testing.T
-	// document makes the members follow a document; options are their plans'.
-	document func(m *member, delay time.Duration) *Document
-	options  planner.Options
-	planning sync.Mutex
+	// injectFault, if set, replaces the writes of frames and may drop or alter
+	// them.
+	injectFault func(write func([]byte) error, data []byte) error
+	ctx         context.Context
+	stop        context.CancelFunc
+	t           *testing.T
+	// newMemberDocument, if set, makes the members watch a document. The options
+	// apply to their plans.
+	newMemberDocument func(m *member, delay time.Duration) *Document
+	options           planner.Options
+	planning          sync.Mutex
 }
 
 const localDelay, regionDelay = time.Millisecond, 20 * time.Millisecond
@@ -292,18 +295,19 @@
 	return names
 }
 
-// detection is the number of heartbeats after which a lost member counts as
-// failed: 3 missed, then 3 s of suspicion.
-const detection = 6
+// failedHeartbeats is the number of missed heartbeats after which a member counts
+// as failed: 3 until it is suspected, and 3 more (3 s) until it is failed.
+const failedHeartbeats = 6
 
-// plan computes the members' plans from those that do not count as failed.
+// plan computes the plans of all members from the members that do not count as
+// failed.
 func (f *fleet) plan() {
 	f.planning.Lock()
 	defer f.planning.Unlock()
 	var live []sycamorerun.Instance
 	for _, name := range f.names() {
-		f.set(func() {
-			if m := f.members[name]; m.lost < detection {
+		f.update(func() {
+			if m := f.members[name]; m.missedHeartbeats < failedHeartbeats {
 				live = append(live, m.Instance)
 			}
 		})
@@ -321,13 +325,14 @@
 	}
 }
 
-// detect counts the heartbeats that the lost members miss.
-func (f *fleet) detect() {
-	f.set(func() {
+// countHeartbeats counts the heartbeats that each member misses and updates the
+// plans.
+func (f *fleet) countHeartbeats() {
+	f.update(func() {
 		for _, m := range f.members {
-			m.lost++
-			if m.up && !m.mute && !m.cut {
-				m.lost = 0
+			m.missedHeartbeats++
+			if m.up && !m.stalled && !m.isolated {
+				m.missedHeartbeats = 0
 			}
 		}
 	})
@@ -337,7 +342,7 @@
 func (f *fleet) start(names ...string) {
 	for _, name := range names {
 		m := f.members[name]
-		f.set(func() { m.up, m.lost = true, 0 })
+		f.update(func() { m.up, m.missedHeartbeats = true, 0 })
 	}
 	f.plan()
 	for i, name := range names {
@@ -345,8 +350,8 @@
 		a, d := &applier.Applier{}, New()
 		last := sycamorerun.Version(0)
 		a.Changed = func(state applier.State) {
-			if state.Tree.Version <= last || state.Hash != f.hash(state.Tree.Version) || differ.Hash(state.Tree.Items) != state.Hash {
-				f.t.Errorf("%s: version %s after %s is older or not the accepted one", name, state.Tree.Version, last)
+			if state.Tree.Version <= last || state.Hash != f.acceptedHash(state.Tree.Version) || differ.Hash(state.Tree.Items) != state.Hash {
+				f.t.Errorf("%s: version %s in force after %s is older or differs from the accepted content", name, state.Tree.Version, last)
 			}
 			last = state.Tree.Version
 		}
@@ -354,13 +359,13 @@
 		if m.Region != "region-0" {
 			delay = regionDelay
 		}
-		if f.document != nil {
-			d.Document = f.document(m, delay)
-			d.Measure = func(_ time.Time, distance int) { go f.measured(m, distance) }
+		if f.newMemberDocument != nil {
+			d.Document = f.newMemberDocument(m, delay)
+			d.PublishDistance = func(_ time.Time, distance int) { go f.publishDistance(m, distance) }
 		}
 		random := uint64(i + 1)
 		d.Self, d.Mode = name, f.mode
-		d.Store = f.store.store(delay, func() bool { return f.is(func() bool { return !m.cut }) })
+		d.Store = f.store.client(delay, func() bool { return f.check(func() bool { return !m.isolated }) })
 		d.Current = func() (sycamorerun.Tree, sycamorerun.Hash) { return a.Current().Tree, a.Current().Hash }
 		d.Apply, d.Install = a.Apply, a.Install
 		d.Plan = func() planner.Plan { return *m.plan.Load() }
@@ -376,51 +381,51 @@
 		ctx, stop := context.WithCancel(f.ctx)
 		m.process.Store(&process{d, a, stop})
 		go func() { _ = d.Run(ctx) }()
-		newest := f.store.newest()
+		newest := f.store.newestVisible()
 		go func() {
 			if d.Bootstrap(ctx) == nil && a.Current().Tree.Version < newest {
-				f.t.Errorf("%s: ready with version %s before %s", name, a.Current().Tree.Version, newest)
+				f.t.Errorf("%s: ready with version %s while the store has %s", name, a.Current().Tree.Version, newest)
 			}
 		}()
 	}
 }
 
-// measured spreads a member's distance.
-func (f *fleet) measured(m *member, distance int) {
+// publishDistance applies a member's distance to all plans after a delay.
+func (f *fleet) publishDistance(m *member, distance int) {
 	time.Sleep(200 * time.Millisecond)
-	f.set(func() { m.Distance = distance })
+	f.update(func() { m.Distance = distance })
 	f.plan()
 }
 
 func (f *fleet) kill(name string) {
 	m := f.members[name]
-	f.set(func() { m.up = false })
+	f.update(func() { m.up = false })
 	m.process.Load().stop()
 }
 
-func (f *fleet) is(read func() bool) bool {
+func (f *fleet) check(read func() bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return read()
 }
 
-func (f *fleet) set(change func()) { f.is(func() bool { change(); return true }) }
+func (f *fleet) update(change func()) { f.check(func() bool { change(); return true }) }
 
-func (f *fleet) hash(version sycamorerun.Version) sycamorerun.Hash {
+func (f *fleet) acceptedHash(version sycamorerun.Version) sycamorerun.Hash {
 	f.store.mutex.Lock()
 	defer f.store.mutex.Unlock()
 	return f.store.hashes[version]
 }
 
-// cost returns the cost so far.
+// cost returns the cost since the start of the fleet.
 func (f *fleet) cost() (c cost) {
-	f.store.set(func() { c = f.store.cost })
+	f.store.update(func() { c = f.store.cost })
 	return c
 }
 
 func (f *fleet) reachable(from, to *member) bool {
-	return f.is(func() bool {
-		return from.up && to.up && (!from.cut && !to.cut || from.AvailabilityZone == to.AvailabilityZone)
+	return f.check(func() bool {
+		return from.up && to.up && (!from.isolated && !to.isolated || from.AvailabilityZone == to.AvailabilityZone)
 	})
 }
 
@@ -432,14 +437,14 @@
 	}
 	time.Sleep(delay)
 	if !f.reachable(from, to) {
-		return nil, errors.New("unreachable")
+		return nil, errors.New("peer unreachable")
 	}
 	near, far := net.Pipe()
 	go to.process.Load().Serve(f.ctx, from.Name, &slowConn{far, f, to, from, delay})
 	return &slowConn{near, f, from, to, delay}, ctx.Err()
 }
 
-// slowConn delays what is written by the distance and counts it.
+// slowConn delays writes by the network delay and counts their bytes.
 type slowConn struct {
 	net.Conn
 	fleet    *fleet
@@ -453,49 +458,49 @@
 		_ = c.Close()
 		return 0, errors.New("connection reset")
 	}
-	c.fleet.store.set(func() { c.fleet.store.cost.add(&c.fleet.store.cost.sent, len(data), c.delay) })
-	var noise func(func([]byte) error, []byte) error
-	c.fleet.set(func() { noise = c.fleet.noise })
-	if noise == nil {
+	c.fleet.store.update(func() { c.fleet.store.cost.add(&c.fleet.store.cost.sent, len(data), c.delay) })
+	var injectFault func(func([]byte) error, []byte) error
+	c.fleet.update(func() { injectFault = c.fleet.injectFault })
+	if injectFault == nil {
 		return c.Conn.Write(data)
 	}
-	return len(data), noise(func(data []byte) error { _, err := c.Conn.Write(data); return err }, data)
+	return len(data), injectFault(func(data []byte) error { _, err := c.Conn.Write(data); return err }, data)
 }
 
 func (c *slowConn) Read(data []byte) (int, error) {
-	for c.fleet.is(func() bool { return c.from.mute }) {
+	for c.fleet.check(func() bool { return c.from.stalled }) {
 		time.Sleep(100 * time.Millisecond)
 	}
 	return c.Conn.Read(data)
 }
 
-// heartbeats carry the versions over the links each second.
+// heartbeats reports each member's version to its linked peers each second.
 func (f *fleet) heartbeats() {
 	for sleep(f.ctx, time.Second) {
-		f.detect()
+		f.countHeartbeats()
 		for _, name := range f.names() {
 			from := f.members[name]
 			if from.process.Load() == nil {
 				continue
 			}
-			for peer := range peers(from.process.Load().Plan().Links) {
+			for peer := range linkedPeers(from.process.Load().Plan().Links) {
 				if to := f.members[peer]; f.reachable(from, to) {
-					to.process.Load().Heard(name, from.version())
+					to.process.Load().ObserveHeartbeat(name, from.version())
 				}
 			}
 		}
 	}
 }
 
-// converge returns the time until all members that are up have version, or an
-// error after a bound.
+// converge returns the time until all members that are up and neither stalled nor
+// isolated have version, or an error after bound.
 func (f *fleet) converge(version sycamorerun.Version, bound time.Duration) (time.Duration, error) {
 	begin := time.Now()
 	for {
 		var behind []string
 		for _, name := range f.names() {
 			m := f.members[name]
-			if f.is(func() bool { return m.up && !m.mute && !m.cut }) && m.version() < version {
+			if f.check(func() bool { return m.up && !m.stalled && !m.isolated }) && m.version() < version {
 				behind = append(behind, fmt.Sprintf("%s at %s", name, m.version()))
 			}
 		}
@@ -510,9 +515,9 @@
 	}
 }
 
-// spare reports whether each child of the member has another parent, so that
-// the second tree covers its failure.
-func (f *fleet) spare(name string) bool {
+// childrenCovered reports whether each child of the member has another parent, so
+// that the second tree covers a failure of the member.
+func (f *fleet) childrenCovered(name string) bool {
 	for _, m := range f.members {
 		others, child := 0, false
 		for _, link := range m.plan.Load().Links {
@@ -528,7 +533,7 @@
 	return true
 }
 
-// watcher returns the member that watches the store for a region.
+// watcher returns the member that has the given watch role in a region.
 func (f *fleet) watcher(region string, watch planner.Watch) string {
 	for _, name := range f.names() {
 		if f.members[name].Region == region && f.members[name].process.Load().Plan().Watch == watch {
@@ -538,13 +543,14 @@
 	panic("no watcher in " + region)
 }
 
-// run runs a scenario on a settled fleet in a bubble with its own time.
-func run(t *testing.T, mode Mode, size int, scenario func(t *testing.T, f *fleet)) {
+// runFleet runs a scenario on a converged fleet in a synctest bubble, which has its
+// own clock.
+func runFleet(t *testing.T, mode Mode, size int, scenario func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, mode, size)
 		defer func() {
 			f.stop()
-			// The delays of the fake network do not end with the context.
+			// The delays of the fake network are not interrupted by the context.
 			time.Sleep(time.Minute)
 			synctest.Wait()
 		}()
--- a/node/distributor/survey.go
+++ b/node/distributor/survey.go
@@ -16,42 +16,43 @@
 )
 
 const (
-	// maxLagging bounds the names in a survey's answer.
+	// maxLagging bounds each list of node names in a survey's result.
 	maxLagging = 16
-	// surveyTimeout is the time for a whole survey unless ctx ends earlier.
+	// surveyTimeout bounds a whole survey.
 	surveyTimeout = 3 * time.Second
-	// surveyMargin is what a node keeps of its time to answer in time itself.
+	// surveyMargin is the part of its time that a node reserves for its own
+	// response.
 	surveyMargin = 100 * time.Millisecond
-	// surveyFrameBytes bounds the frame of an answer.
+	// surveyFrameBytes bounds the frame of a Report.
 	surveyFrameBytes = 64 << 10
 )
 
-// Lagging is a node below the newest version.
-type Lagging struct {
+// LaggingNode is a node whose version in force is below the survey's target.
+type LaggingNode struct {
 	Name    string
 	Version sycamorerun.Version
 	Since   time.Time
 }
 
-// Convergence is the answer to a survey.
+// Convergence is the result of a survey.
 type Convergence struct {
 	// Target is the version below which a node counts as lagging.
 	Target sycamorerun.Version
 	Counts map[sycamorerun.Version]int
-	// Lagging lists up to 16 nodes, those that lag longest first.
-	Lagging []Lagging
-	// Unreachable lists up to 16 nodes that did not answer; the nodes below
-	// them in the tree are not counted.
+	// Lagging lists up to 16 nodes, the longest lagging first.
+	Lagging []LaggingNode
+	// Unreachable lists up to 16 nodes that did not respond. Their descendants
+	// in the tree are not counted.
 	Unreachable []string
 }
 
-// merge adds the answer of a subtree.
+// merge adds the result of a subtree.
 func (c *Convergence) merge(other Convergence) {
 	for version, count := range other.Counts {
 		c.Counts[version] += count
 	}
 	c.Lagging = append(c.Lagging, other.Lagging...)
-	slices.SortFunc(c.Lagging, func(a, b Lagging) int {
+	slices.SortFunc(c.Lagging, func(a, b LaggingNode) int {
 		return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Name, b.Name))
 	})
 	c.Lagging = c.Lagging[:min(len(c.Lagging), maxLagging)]
@@ -60,8 +61,8 @@
 	c.Unreachable = c.Unreachable[:min(len(c.Unreachable), maxLagging)]
 }
 
-// Survey counts the versions in force in the fleet: it asks the regions' first
-// members, which ask down the first tree.
+// Survey counts the versions in force in the fleet. It queries the first member
+// of each region, which queries its descendants in the first tree.
 func (d *Distributor) Survey(ctx context.Context) (Convergence, error) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
@@ -70,9 +71,9 @@
 		names = append(names, region.Name)
 	}
 	if len(names) == 0 {
-		return Convergence{}, errors.New("the plan names no regions to survey")
+		return Convergence{}, errors.New("plan contains no regions to survey")
 	}
-	target := d.Held()
+	target := d.HeldVersion()
 	result := Convergence{Target: target, Counts: map[sycamorerun.Version]int{}}
 	own := slices.Index(names, d.Self)
 	if own >= 0 {
@@ -80,40 +81,40 @@
 	}
 	deadline, _ := ctx.Deadline()
 	var group sync.WaitGroup
-	var below Convergence
+	var subtree Convergence
 	if own >= 0 {
-		group.Go(func() { below = d.surveyBelow(ctx, target, deadline) })
+		group.Go(func() { subtree = d.surveySubtree(ctx, target, deadline) })
 	}
-	d.surveyAll(ctx, &result, names, target, deadline)
+	d.surveyPeers(ctx, &result, names, target, deadline)
 	group.Wait()
-	result.merge(below)
+	result.merge(subtree)
 	return result, nil
 }
 
-// surveyBelow surveys this node and the nodes below it.
-func (d *Distributor) surveyBelow(ctx context.Context, target sycamorerun.Version, deadline time.Time) Convergence {
+// surveySubtree surveys this node and its descendants.
+func (d *Distributor) surveySubtree(ctx context.Context, target sycamorerun.Version, deadline time.Time) Convergence {
 	tree, _ := d.Current()
 	result := Convergence{Target: target, Counts: map[sycamorerun.Version]int{tree.Version: 1}}
 	if tree.Version < target {
-		result.Lagging = []Lagging{{d.Self, tree.Version, d.laggingSince(time.Now(), tree.Version)}}
+		result.Lagging = []LaggingNode{{d.Self, tree.Version, d.laggingSince(time.Now(), tree.Version)}}
 	}
-	d.surveyAll(ctx, &result, children(d.Plan().Links), target, deadline.Add(-surveyMargin))
+	d.surveyPeers(ctx, &result, children(d.Plan().Links), target, deadline.Add(-surveyMargin))
 	return result
 }
 
-// laggingSince returns since when the node has known of a newer version, or
-// now when it has just learned of it.
+// laggingSince returns when the node first knew of a version above the given one,
+// or now if no peer has reported any.
 func (d *Distributor) laggingSince(now time.Time, version sycamorerun.Version) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if since, ok := d.wants.behind(version); ok {
+	if since, ok := d.pulls.behindSince(version); ok {
 		return since
 	}
 	return now
 }
 
-// surveyAll asks the named nodes at once and adds their answers.
-func (d *Distributor) surveyAll(ctx context.Context, result *Convergence, names []string, target sycamorerun.Version, deadline time.Time) {
+// surveyPeers queries the named nodes concurrently and merges their reports.
+func (d *Distributor) surveyPeers(ctx context.Context, result *Convergence, names []string, target sycamorerun.Version, deadline time.Time) {
 	var group sync.WaitGroup
 	var mutex sync.Mutex
 	for _, name := range names {
@@ -139,13 +140,13 @@
 	}
 	stream, err := d.Open(ctx, name, Kind)
 	if err != nil {
-		return Convergence{}, errors.Wrap(err, "open")
+		return Convergence{}, errors.Wrap(err, "open stream")
 	}
 	defer closeWith(ctx, stream)()
-	question := &Message{Kind: &Message_Survey{Survey: &Survey{
+	request := &Message{Kind: &Message_Survey{Survey: &Survey{
 		Target: uint64(target), TimeoutMs: uint32(left.Milliseconds()),
 	}}}
-	if _, err := encoder.Write(stream, question); err != nil {
+	if _, err := encoder.Write(stream, request); err != nil {
 		return Convergence{}, err
 	}
 	report, err := encoder.Read[Report](stream, surveyFrameBytes)
@@ -155,10 +156,10 @@
 	return fromReport(report), nil
 }
 
-func (d *Distributor) answerSurvey(ctx context.Context, stream net.Conn, survey *Survey) error {
+func (d *Distributor) handleSurvey(ctx context.Context, stream net.Conn, survey *Survey) error {
 	limit := min(time.Duration(survey.GetTimeoutMs())*time.Millisecond, surveyTimeout)
 	deadline := time.Now().Add(limit)
-	result := d.surveyBelow(ctx, sycamorerun.Version(survey.GetTarget()), deadline)
+	result := d.surveySubtree(ctx, sycamorerun.Version(survey.GetTarget()), deadline)
 	_ = stream.SetWriteDeadline(time.Now().Add(sendTimeout))
 	_, err := encoder.Write(stream, toReport(result))
 	return err
@@ -183,7 +184,7 @@
 		result.Counts[sycamorerun.Version(count.GetVersion())] += int(count.GetNodes())
 	}
 	for _, lag := range report.GetLagging() {
-		result.Lagging = append(result.Lagging, Lagging{
+		result.Lagging = append(result.Lagging, LaggingNode{
 			Name: lag.GetName(), Version: sycamorerun.Version(lag.GetVersion()),
 			Since: time.Unix(0, lag.GetSinceUnixNano()),
 		})
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -140,8 +140,8 @@
 			return n.connector.Open(ctx, to, kindTracker)
 		},
 		Plan:        n.fleet.plan,
-		Version:     func() sycamorerun.Version { return n.distributor.Held() },
-		VersionSeen: func(peer string, version sycamorerun.Version) { n.distributor.Heard(peer, version) },
+		Version:     func() sycamorerun.Version { return n.distributor.HeldVersion() },
+		VersionSeen: func(peer string, version sycamorerun.Version) { n.distributor.ObserveHeartbeat(peer, version) },
 		Changed:     n.membersChanged,
 		Logger:      n.logger,
 		Scope:       n.scope,
@@ -163,7 +163,7 @@
 	d.StandbyDelay = func() time.Duration { return n.inForce.Load().StandbyDelay }
 	d.Store = n.store
 	d.Document = n.document
-	d.Measure = n.tracker.SetDistance
+	d.PublishDistance = n.tracker.SetDistance
 	d.Current = n.current
 	d.Apply, d.Install = n.apply, n.applier.Install
 	d.Plan = n.fleet.plan
@@ -183,7 +183,7 @@
 	a := acceptor.New(n.store)
 	a.Current = func() sycamorerun.Tree { return n.applier.Current().Tree }
 	a.Entry = n.distributor.Entry
-	a.Learn = n.distributor.Learn
+	a.Learn = n.distributor.ApplyCommitted
 	a.Owned = n.document != nil
 	checker := &validator.Checker{}
 	a.Validate = func(tree sycamorerun.Tree) []sycamorerun.Fault { return checker.Check(tree.Items) }
