--- a/node/forwarder/call.go
+++ b/node/forwarder/call.go
@@ -54,8 +54,8 @@
 }
 
 // want describes the call for the queue.
-func (c *call) want() Want {
-	want := Want{Rank: c.match.Rank, Objective: c.match.Objective, Arrived: c.arrived, Nested: c.match.Nested}
+func (c *call) want() SlotRequest {
+	want := SlotRequest{Rank: c.match.Rank, Objective: c.match.Objective, Arrived: c.arrived, Nested: c.match.Nested}
 	if !c.deadline.IsZero() {
 		want.Deadline = c.deadline.Add(-c.reply)
 	}
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -190,7 +190,7 @@
 		"expected to wait for too long": {
 			setUp: func(b *bed) {
 				for _, f := range []*Forwarder{b.entry, b.beside} {
-					f.Acquire = func(context.Context, time.Time, Want) (func(), Rejection) {
+					f.Acquire = func(context.Context, time.Time, SlotRequest) (func(), Rejection) {
 						return nil, Rejection{Reason: "busy", After: 2 * time.Second}
 					}
 				}
@@ -343,8 +343,8 @@
 		b := newBed(t, local, reply("ok"))
 		b.match.Rank, b.match.Objective, b.match.Nested = 3, 80*time.Millisecond, true
 		b.match.Timeout = 10 * time.Second
-		var got Want
-		b.beside.Acquire = func(_ context.Context, _ time.Time, want Want) (func(), Rejection) {
+		var got SlotRequest
+		b.beside.Acquire = func(_ context.Context, _ time.Time, want SlotRequest) (func(), Rejection) {
 			got = want
 			return func() {}, Rejection{}
 		}
@@ -358,6 +358,6 @@
 		}
 		is.True(left <= most && left > most-100*time.Millisecond)
 		got.Arrived, got.Deadline = time.Time{}, time.Time{}
-		is.Equal(got, Want{Rank: 3, Objective: 80 * time.Millisecond, Nested: true})
+		is.Equal(got, SlotRequest{Rank: 3, Objective: 80 * time.Millisecond, Nested: true})
 	})
 }
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -79,7 +79,7 @@
 	Others func(service string, than []string) bool
 	// Acquire waits for a slot at the upstream beside this node; the rejection
 	// is zero when the call is admitted.
-	Acquire func(ctx context.Context, now time.Time, want Want) (release func(), rejection Rejection)
+	Acquire func(ctx context.Context, now time.Time, want SlotRequest) (release func(), rejection Rejection)
 	// Load describes the work at the upstream beside this node to a call.
 	Load func(match Match) *Load
 	// Begin claims the execution of a call, Finish records its end, Refuse
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -28,8 +28,8 @@
 	Nested bool
 }
 
-// Want describes a call that asks for a slot.
-type Want struct {
+// SlotRequest describes a call that asks for a slot.
+type SlotRequest struct {
 	Rank      int
 	Deadline  time.Time
 	Objective time.Duration
--- a/node/runner/announce_test.go
+++ b/node/runner/announce_test.go
@@ -80,7 +80,7 @@
 
 			ctx := forwarder.WithService(t.Context(), "s")
 			acquire := func() string {
-				_, rejection := n.calls.forwarder.Acquire(ctx, time.Now(), forwarder.Want{Rank: 1})
+				_, rejection := n.calls.forwarder.Acquire(ctx, time.Now(), forwarder.SlotRequest{Rank: 1})
 				return rejection.Reason
 			}
 			send := func() error {
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -106,7 +106,7 @@
 			Repeatable: a.Repeatable, Consumed: a.Consumed, Passed: a.Passed,
 		})
 	}
-	f.Acquire = func(ctx context.Context, now time.Time, want forwarder.Want) (func(), forwarder.Rejection) {
+	f.Acquire = func(ctx context.Context, now time.Time, want forwarder.SlotRequest) (func(), forwarder.Rejection) {
 		if !c.upstream.admits(forwarder.ServiceOf(ctx)) {
 			return nil, forwarder.Rejection{Reason: limiter.Draining}
 		}
