--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -126,7 +126,7 @@
 	f.Begin = func(now time.Time, claim Claim) sycamorerun.Decision {
 		return b.records.Begin(now, claim.ID, deduplicator.Key{Name: claim.Key, Print: claim.Print})
 	}
-	f.Finish = func(now time.Time, claim Claim, ending Ending) {
+	f.Finish = func(now time.Time, claim Claim, ending Completion) {
 		b.records.Finish(now, claim.ID, deduplicator.Key{Name: claim.Key, Print: claim.Print},
 			deduplicator.Result{Result: ending.Result, Response: ending.Response})
 	}
--- a/node/forwarder/execute.go
+++ b/node/forwarder/execute.go
@@ -46,7 +46,7 @@
 		return out, failed
 	}
 	var once sync.Once
-	finish := func(ending Ending) {
+	finish := func(ending Completion) {
 		once.Do(func() {
 			f.Finish(f.Now(), claim, ending)
 			release()
@@ -56,7 +56,7 @@
 	if failed != nil {
 		// An upstream has rejected a call with this reason.
 		failed.sent = failed.sent || failed.reason == reasonRejected || failed.reason == reasonMisdirected
-		finish(Ending{Result: failed.result})
+		finish(Completion{Result: failed.result})
 	}
 	return out, failed
 }
@@ -86,7 +86,7 @@
 
 // start sends the request and reads the head of the response, and the body too
 // if it is small.
-func (f *Forwarder) start(ctx context.Context, watch *watch, c *call, body io.ReadCloser, level uint32, admitted func() error, finish func(Ending)) (*answer, *failure) {
+func (f *Forwarder) start(ctx context.Context, watch *watch, c *call, body io.ReadCloser, level uint32, admitted func() error, finish func(Completion)) (*answer, *failure) {
 	if ctx.Err() != nil {
 		return nil, notRun(ended(ctx, ""))
 	}
@@ -129,7 +129,7 @@
 }
 
 // receive describes the response of the upstream.
-func (f *Forwarder) receive(ctx context.Context, watch *watch, c *call, response *http.Response, finish func(Ending)) (*answer, *failure) {
+func (f *Forwarder) receive(ctx context.Context, watch *watch, c *call, response *http.Response, finish func(Completion)) (*answer, *failure) {
 	out := &answer{
 		status: response.StatusCode, header: f.clean(response.Header),
 		trailers: announced(response.Trailer), length: response.ContentLength, load: f.Load(c.match),
@@ -155,10 +155,10 @@
 }
 
 // settle ends a call whose whole response is in memory.
-func (f *Forwarder) settle(out *answer, data []byte, finish func(Ending)) *answer {
+func (f *Forwarder) settle(out *answer, data []byte, finish func(Completion)) *answer {
 	body := whole(data)
 	out.body = &body
-	ending := Ending{Result: sycamorerun.Answered}
+	ending := Completion{Result: sycamorerun.Answered}
 	if encoded, err := proto.Marshal(toResponse(out, data, true)); err == nil {
 		ending.Response = encoded
 	}
@@ -171,7 +171,7 @@
 	response *http.Response
 	clean    func(http.Header) http.Header
 	watch    *watch
-	finish   func(Ending)
+	finish   func(Completion)
 	buffer   []byte
 }
 
@@ -187,7 +187,7 @@
 			return d.buffer[:n], nil
 		}
 		if err == io.EOF {
-			d.finish(Ending{Result: sycamorerun.Answered})
+			d.finish(Completion{Result: sycamorerun.Answered})
 			return nil, io.EOF
 		}
 		if err != nil {
@@ -202,7 +202,7 @@
 // Close implements source.
 func (d *download) Close() {
 	_ = d.response.Body.Close()
-	d.finish(Ending{Result: sycamorerun.Unknown})
+	d.finish(Completion{Result: sycamorerun.Unknown})
 }
 
 func toResponse(out *answer, data []byte, complete bool) *Response {
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -86,7 +86,7 @@
 	// returns the state of a call that was opened age ago and has it refused
 	// from then on if it was not seen.
 	Begin  func(now time.Time, claim Claim) sycamorerun.Decision
-	Finish func(now time.Time, claim Claim, ending Ending)
+	Finish func(now time.Time, claim Claim, ending Completion)
 	Refuse func(now time.Time, id string, age time.Duration) Progress
 	// Open opens a stream to the node at an address.
 	Open func(ctx context.Context, to netip.AddrPort, kind string) (net.Conn, error)
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -115,8 +115,8 @@
 	Print uint64
 }
 
-// Ending is how a call ended at the upstream.
-type Ending struct {
+// Completion is how a call ended at the upstream.
+type Completion struct {
 	Result sycamorerun.Result
 	// Response is the encoded response if it is small, or nil.
 	Response []byte
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -123,7 +123,7 @@
 	f.Begin = func(now time.Time, claim forwarder.Claim) sycamorerun.Decision {
 		return c.deduplicator.Begin(now, claim.ID, key(claim))
 	}
-	f.Finish = func(now time.Time, claim forwarder.Claim, ending forwarder.Ending) {
+	f.Finish = func(now time.Time, claim forwarder.Claim, ending forwarder.Completion) {
 		c.deduplicator.Finish(now, claim.ID, key(claim), deduplicator.Result(ending))
 	}
 	f.Refuse = func(now time.Time, id string, age time.Duration) forwarder.Progress {
