--- a/node/forwarder/call.go
+++ b/node/forwarder/call.go
@@ -64,7 +64,7 @@
 
 // claim names the attempt with the given id for the deduplicator.
 func (c *call) claim(id string) Claim {
-	return Claim{ID: id, Key: c.key, Print: c.print}
+	return Claim{ID: id, Key: c.key, Fingerprint: c.print}
 }
 
 // identity returns the id of the n-th attempt of the call. Attempts have ids
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -112,7 +112,7 @@
 	// Key is the idempotency key with its scope, or empty; Print identifies
 	// the request that the key stands for.
 	Key   string
-	Print uint64
+	Fingerprint uint64
 }
 
 // Completion is how a call ended at the upstream.
