--- a/node/forwarder/failure_test.go
+++ b/node/forwarder/failure_test.go
@@ -861,7 +861,7 @@
 			is := is.New(t)
 			b := newBed(t, true, reply(""))
 			var earned atomic.Int64
-			b.entry.Call = func(time.Time, string) { earned.Add(1) }
+			b.entry.CountCall = func(time.Time, string) { earned.Add(1) }
 			is.Equal(b.send(http.MethodGet, "/x", nil, c.header...).status, http.StatusOK)
 			is.Equal(earned.Load(), c.earned)
 		})
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -71,9 +71,9 @@
 	// Owner returns the instance that executes the calls with a key. Such calls
 	// are neither picked nor observed.
 	Owner func(service, key string) (sycamorerun.Instance, bool)
-	// Call counts a call towards the retry budget of its service; Allow says
+	// CountCall counts a call towards the retry budget of its service; Allow says
 	// whether and when a failed attempt may be repeated.
-	Call  func(now time.Time, service string)
+	CountCall  func(now time.Time, service string)
 	Allow func(now time.Time, attempt Attempt) (time.Duration, bool)
 	// Others reports whether the service has an instance beside those named.
 	Others func(service string, than []string) bool
--- a/node/forwarder/serve_http.go
+++ b/node/forwarder/serve_http.go
@@ -47,7 +47,7 @@
 	if c.level == 1 {
 		// A call that stems from a retry earns none. Otherwise the retries of each
 		// level of a chain would raise the budgets of all levels below it.
-		f.Call(now, c.match.Service)
+		f.CountCall(now, c.match.Service)
 	}
 	out, failed := f.attempts(ctx, watch, c)
 	if failed != nil {
