--- a/node/forwarder/attempts.go
+++ b/node/forwarder/attempts.go
@@ -95,7 +95,7 @@
 			return 0, false
 		}
 	}
-	return f.Allow(now, attempt)
+	return f.AllowRetry(now, attempt)
 }
 
 // moveDelays are the pauses after which a call whose key has changed hands is
--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -113,7 +113,7 @@
 	f.Owner = func(string, string) (sycamorerun.Instance, bool) { return b.picks[0], true }
 	f.Observe = func(_ time.Time, observation Observation) { b.observed <- observation }
 	f.CountCall = func(time.Time, string) {}
-	f.Allow = func(_ time.Time, attempt Attempt) (time.Duration, bool) {
+	f.AllowRetry = func(_ time.Time, attempt Attempt) (time.Duration, bool) {
 		safe := attempt.Result == sycamorerun.NotRun || attempt.Repeatable
 		return 0, safe && !attempt.Consumed && attempt.Number <= b.retries
 	}
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -243,7 +243,7 @@
 					c.setUp(b)
 				}
 				var got Attempt
-				b.entry.Allow = func(_ time.Time, attempt Attempt) (time.Duration, bool) {
+				b.entry.AllowRetry = func(_ time.Time, attempt Attempt) (time.Duration, bool) {
 					got = attempt
 					return 0, false
 				}
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -74,7 +74,7 @@
 	// CountCall counts a call towards the retry budget of its service; Allow says
 	// whether and when a failed attempt may be repeated.
 	CountCall  func(now time.Time, service string)
-	Allow func(now time.Time, attempt Attempt) (time.Duration, bool)
+	AllowRetry func(now time.Time, attempt Attempt) (time.Duration, bool)
 	// Others reports whether the service has an instance beside those named.
 	Others func(service string, than []string) bool
 	// Acquire waits for a slot at the upstream beside this node; the rejection
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -99,7 +99,7 @@
 	f.Others = func(service string, than []string) bool { return others(instances(service), than) }
 	f.Owner = func(service, key string) (sycamorerun.Instance, bool) { return owner(instances(service), key) }
 	f.CountCall = c.retrier.Call
-	f.Allow = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
+	f.AllowRetry = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
 		return c.retrier.Allow(now, retrier.Attempt{
 			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, Same: a.Same, Left: a.Left,
 			Level: a.Level, Result: a.Result,
