--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -117,7 +117,7 @@
 		safe := attempt.Result == sycamorerun.NotRun || attempt.Repeatable
 		return 0, safe && !attempt.Consumed && attempt.Number <= b.retries
 	}
-	f.Others = func(_ string, than []string) bool { return len(than) < len(b.picks) }
+	f.HasOtherInstance = func(_ string, than []string) bool { return len(than) < len(b.picks) }
 	f.Acquire = func(ctx context.Context, now time.Time, want SlotRequest) (func(), Rejection) {
 		release, refusal := b.limiter.Acquire(ctx, now, limiter.Want(want))
 		return release, Rejection(refusal)
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -75,8 +75,8 @@
 	// whether and when a failed attempt may be repeated.
 	CountCall  func(now time.Time, service string)
 	AllowRetry func(now time.Time, attempt Attempt) (time.Duration, bool)
-	// Others reports whether the service has an instance beside those named.
-	Others func(service string, than []string) bool
+	// HasOtherInstance reports whether the service has an instance beside those named.
+	HasOtherInstance func(service string, than []string) bool
 	// Acquire waits for a slot at the upstream beside this node; the rejection
 	// is zero when the call is admitted.
 	Acquire func(ctx context.Context, now time.Time, want SlotRequest) (release func(), rejection Rejection)
--- a/node/forwarder/remote.go
+++ b/node/forwarder/remote.go
@@ -41,7 +41,7 @@
 // open opens a stream for a call. Nothing is sent before that, so a call that
 // waits for too long goes elsewhere, whether it may be repeated or not.
 func (f *Forwarder) open(ctx context.Context, c *call, to sycamorerun.Instance, tried []string) (net.Conn, error) {
-	if c.key == "" && f.Others(c.match.Service, append(tried[:len(tried):len(tried)], to.Name)) {
+	if c.key == "" && f.HasOtherInstance(c.match.Service, append(tried[:len(tried):len(tried)], to.Name)) {
 		limited, cancel := context.WithTimeout(ctx, openTime)
 		defer cancel()
 		ctx = limited
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -96,7 +96,7 @@
 			c.retrier.Ran(now, o.Service, o.Head)
 		}
 	}
-	f.Others = func(service string, than []string) bool { return others(instances(service), than) }
+	f.HasOtherInstance = func(service string, than []string) bool { return others(instances(service), than) }
 	f.Owner = func(service, key string) (sycamorerun.Instance, bool) { return owner(instances(service), key) }
 	f.CountCall = c.retrier.Call
 	f.AllowRetry = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
