--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -130,8 +130,8 @@
 		b.records.Finish(now, claim.ID, deduplicator.Key{Name: claim.Key, Print: claim.Fingerprint},
 			deduplicator.Result{Result: ending.Result, Response: ending.Response})
 	}
-	f.Refuse = func(now time.Time, id string, age time.Duration) Progress {
-		return Progress(b.records.Refuse(now, id, age))
+	f.Refuse = func(now time.Time, id string, age time.Duration) CallState {
+		return CallState(b.records.Refuse(now, id, age))
 	}
 	f.Open = func(ctx context.Context, to netip.AddrPort, kind string) (net.Conn, error) {
 		return b.open(ctx, to, kind)
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -87,7 +87,7 @@
 	// from then on if it was not seen.
 	Begin  func(now time.Time, claim Claim) sycamorerun.Decision
 	Finish func(now time.Time, claim Claim, ending Completion)
-	Refuse func(now time.Time, id string, age time.Duration) Progress
+	Refuse func(now time.Time, id string, age time.Duration) CallState
 	// Open opens a stream to the node at an address.
 	Open func(ctx context.Context, to netip.AddrPort, kind string) (net.Conn, error)
 	// Upstream sends requests to the upstream beside this node, see Transport.
--- a/node/forwarder/query.go
+++ b/node/forwarder/query.go
@@ -13,7 +13,7 @@
 const queryBytes = 1 << 10
 
 // query asks the node at to for the state of a call that was opened age ago.
-func (f *Forwarder) query(ctx context.Context, to sycamorerun.Instance, id string, age time.Duration) (Progress, error) {
+func (f *Forwarder) query(ctx context.Context, to sycamorerun.Instance, id string, age time.Duration) (CallState, error) {
 	conn, err := f.Open(ctx, to.Address, KindQuery)
 	if err != nil {
 		return ProgressUnknown, err
@@ -28,7 +28,7 @@
 	if err != nil {
 		return ProgressUnknown, err
 	}
-	return Progress(state.GetState()), nil
+	return CallState(state.GetState()), nil
 }
 
 // ServeQuery handles a stream of kind query.
--- a/node/forwarder/remote.go
+++ b/node/forwarder/remote.go
@@ -163,7 +163,7 @@
 	if reason == reasonCanceled {
 		return unknown(reason)
 	}
-	result := make(chan Progress, 1)
+	result := make(chan CallState, 1)
 	go func() {
 		asking, stop := context.WithTimeout(context.WithoutCancel(ctx), f.QueryWait)
 		defer stop()
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -122,13 +122,13 @@
 	Response []byte
 }
 
-// Progress is what a node knows of a call.
-type Progress string
+// CallState is what a node knows of a call.
+type CallState string
 
 // Values of Progress.
 const (
-	ProgressRefused  Progress = "refused"
-	ProgressStarted  Progress = "started"
-	ProgressFinished Progress = "finished"
-	ProgressUnknown  Progress = "unknown"
+	ProgressRefused  CallState = "refused"
+	ProgressStarted  CallState = "started"
+	ProgressFinished CallState = "finished"
+	ProgressUnknown  CallState = "unknown"
 )
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -126,8 +126,8 @@
 	f.Finish = func(now time.Time, claim forwarder.Claim, ending forwarder.Completion) {
 		c.deduplicator.Finish(now, claim.ID, key(claim), deduplicator.Result(ending))
 	}
-	f.Refuse = func(now time.Time, id string, age time.Duration) forwarder.Progress {
-		return forwarder.Progress(c.deduplicator.Refuse(now, id, age))
+	f.Refuse = func(now time.Time, id string, age time.Duration) forwarder.CallState {
+		return forwarder.CallState(c.deduplicator.Refuse(now, id, age))
 	}
 	c.forwarder = f
 	return c
