--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -89,8 +89,8 @@
 	Sent   bool
 	// Limit bounds Sends; zero means the default.
 	Limit int
-	// Same says that a repetition goes to the same instance.
-	Same bool
+	// SameInstance says that a repetition goes to the same instance.
+	SameInstance bool
 	// Left is the time until the deadline; zero means that there is none.
 	Left time.Duration
 	// Level is the attempt number that the caller's own request had, which is
