--- a/node/forwarder/attempts.go
+++ b/node/forwarder/attempts.go
@@ -87,7 +87,7 @@
 	}
 	now := f.Now()
 	attempt := Attempt{
-		Service: c.match.Service, Number: n, Sends: sends, Sent: failed.sent, Limit: c.match.Attempts, Level: c.level,
+		Service: c.match.Service, Number: n, Sends: sends, Sent: failed.sent, Limit: c.match.Attempts, CallerAttempt: c.level,
 		Result: failed.result, Reason: failed.reason, Repeatable: c.match.Repeatable, Consumed: consumed, SameInstance: c.key != "",
 	}
 	if !c.deadline.IsZero() {
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -251,7 +251,7 @@
 				is.NoErr(err)
 				is.NoErr(response.Body.Close())
 				is.True(got.Left > 0 && got.Left <= b.match.Timeout)
-				c.want.Service, c.want.Number, c.want.Level, c.want.Limit, c.want.Left = "s", 1, 1, 5, got.Left
+				c.want.Service, c.want.Number, c.want.CallerAttempt, c.want.Limit, c.want.Left = "s", 1, 1, 5, got.Left
 				is.Equal(got, c.want)
 				observed := <-b.observed
 				if c.want.Reason == "busy" {
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -93,10 +93,10 @@
 	SameInstance bool
 	// Left is the time until the deadline; zero means that there is none.
 	Left time.Duration
-	// Level is the attempt number that the caller's own request had, which is
+	// CallerAttempt is the attempt number that the caller's own request had, which is
 	// above 1 when a node nearer to the origin of the call chain is already
 	// repeating.
-	Level      int
+	CallerAttempt      int
 	Result     sycamorerun.Result
 	Reason     string
 	Repeatable bool
