--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -102,8 +102,8 @@
 	Repeatable bool
 	// Consumed says that a part of the request body can't be sent again.
 	Consumed bool
-	// Passed says that a part of the response reached the caller.
-	Passed bool
+	// ResponseStarted says that a part of the response reached the caller.
+	ResponseStarted bool
 }
 
 // Claim names a call that is about to run.
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -103,7 +103,7 @@
 		return c.retrier.Allow(now, retrier.Attempt{
 			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, Same: a.SameInstance, Left: a.Left,
 			Level: a.CallerAttempt, Result: a.Result,
-			Repeatable: a.Repeatable, Consumed: a.Consumed, Passed: a.Passed,
+			Repeatable: a.Repeatable, Consumed: a.Consumed, Passed: a.ResponseStarted,
 		})
 	}
 	f.Acquire = func(ctx context.Context, now time.Time, want forwarder.SlotRequest) (func(), forwarder.Rejection) {
