--- a/node/forwarder/attempts.go
+++ b/node/forwarder/attempts.go
@@ -36,7 +36,7 @@
 		if c.key == "" {
 			f.Observe(f.Now(), Observation{
 				Instance: to.Name, Service: c.match.Service, Result: failed.result,
-				Reason: failed.reason, Head: f.Now().Sub(now), Load: failed.load,
+				Reason: failed.reason, HeadLatency: f.Now().Sub(now), Load: failed.load,
 				After: failed.after, Rank: c.match.Rank, Objective: c.match.Objective,
 			})
 		}
@@ -133,7 +133,7 @@
 	return &observedBody{source: out.body, ctx: ctx, done: func(result sycamorerun.Result, reason string) {
 		f.Observe(f.Now(), Observation{
 			Instance: to.Name, Service: c.match.Service, Result: result, Reason: reason, Status: out.status,
-			Load: out.load, Head: out.at.Sub(began), Rank: c.match.Rank, Objective: c.match.Objective,
+			Load: out.load, HeadLatency: out.at.Sub(began), Rank: c.match.Rank, Objective: c.match.Objective,
 		})
 	}}
 }
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -67,8 +67,8 @@
 	Result sycamorerun.Result
 	Reason string
 	Status int
-	// Head is the time until the head of the response or the failure.
-	Head time.Duration
+	// HeadLatency is the time until the head of the response or the failure.
+	HeadLatency time.Duration
 	// Load is what the node beside the upstream reported for calls of Rank and
 	// Objective, or nil.
 	Load *Load
