--- a/node/forwarder/attempts.go
+++ b/node/forwarder/attempts.go
@@ -37,7 +37,7 @@
 			f.Observe(f.Now(), Observation{
 				Instance: to.Name, Service: c.match.Service, Result: failed.result,
 				Reason: failed.reason, HeadLatency: f.Now().Sub(now), Load: failed.load,
-				After: failed.after, Rank: c.match.Rank, Objective: c.match.Objective,
+				RetryAfter: failed.after, Rank: c.match.Rank, Objective: c.match.Objective,
 			})
 		}
 		last = merge(last, failed)
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -255,7 +255,7 @@
 				is.Equal(got, c.want)
 				observed := <-b.observed
 				if c.want.Reason == "busy" {
-					is.Equal(observed.After, 2*time.Second)
+					is.Equal(observed.RetryAfter, 2*time.Second)
 					after, err := time.ParseDuration(response.Header.Get("Retry-After") + "s")
 					is.NoErr(err)
 					is.True(after >= 1600*time.Millisecond && after <= 2400*time.Millisecond)
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -41,7 +41,7 @@
 // Rejection is why a call got no slot; it is zero when the call got one.
 type Rejection struct {
 	Reason string
-	// After is the time after which capacity is expected; zero means unknown.
+	// RetryAfter is the time after which capacity is expected; zero means unknown.
 	After time.Duration
 }
 
@@ -72,9 +72,9 @@
 	// Load is what the node beside the upstream reported for calls of Rank and
 	// Objective, or nil.
 	Load *Load
-	// After is the time after which it expects capacity for calls of Rank; zero
+	// RetryAfter is the time after which it expects capacity for calls of Rank; zero
 	// means unknown.
-	After     time.Duration
+	RetryAfter     time.Duration
 	Rank      int
 	Objective time.Duration
 }
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -149,7 +149,7 @@
 func observation(o forwarder.Observation) balancer.Observation {
 	result := balancer.Observation{
 		Instance: o.Instance, Service: o.Service, Result: o.Result, Reason: o.Reason, Status: o.Status,
-		After: o.After, Rank: o.Rank, Objective: o.Objective,
+		After: o.RetryAfter, Rank: o.Rank, Objective: o.Objective,
 	}
 	if o.Load != nil {
 		result.Load = &balancer.Load{
