--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -74,9 +74,9 @@
 	Load *Load
 	// RetryAfter is the time after which it expects capacity for calls of Rank; zero
 	// means unknown.
-	RetryAfter     time.Duration
-	Rank      int
-	Objective time.Duration
+	RetryAfter time.Duration
+	Rank       int
+	Objective  time.Duration
 }
 
 // Attempt is a failed attempt that may be repeated.
@@ -96,10 +96,10 @@
 	// CallerAttempt is the attempt number that the caller's own request had, which is
 	// above 1 when a node nearer to the origin of the call chain is already
 	// repeating.
-	CallerAttempt      int
-	Result     sycamorerun.Result
-	Reason     string
-	Repeatable bool
+	CallerAttempt int
+	Result        sycamorerun.Result
+	Reason        string
+	Repeatable    bool
 	// Consumed says that a part of the request body can't be sent again.
 	Consumed bool
 	// ResponseStarted says that a part of the response reached the caller.
@@ -111,7 +111,7 @@
 	ID string
 	// Key is the idempotency key with its scope, or empty; Print identifies
 	// the request that the key stands for.
-	Key   string
+	Key         string
 	Fingerprint uint64
 }
 
