--- a/node/forwarder/attempts.go
+++ b/node/forwarder/attempts.go
@@ -9,7 +9,8 @@
 	"sycamorerun"
 )
 
-// attempts sends the call until an attempt is answered or may not be repeated.
+// sendWithRetries sends the call until an attempt gets a response or no further
+// retry is permitted.
 func (f *Forwarder) sendWithRetries(ctx context.Context, watchdog *watchdog, c *call) (*attemptResponse, *failure) {
 	var tried []string
 	var lastFailure *failure
@@ -26,7 +27,8 @@
 		attemptCtx, cancel := watchdog.startAttempt(ctx, c)
 		out, failed := f.sendAttempt(attemptCtx, watchdog, c, to, tried, n)
 		if failed == nil {
-			// The context ends with the call, after the body.
+			// The attempt context must outlive the response body; it ends with
+			// the call.
 			if c.key == "" {
 				out.body = f.observeBody(attemptCtx, now, c, to, out)
 			}
@@ -52,8 +54,8 @@
 	}
 }
 
-// choose returns the instance for the next attempt. A call with a key has one
-// instance only, whatever its load.
+// chooseInstance returns the instance for the next attempt. A call with an
+// idempotency key always goes to the owner of the key, whatever its load.
 func (f *Forwarder) chooseInstance(now time.Time, c *call, tried []string) (sycamorerun.Instance, bool) {
 	if c.key != "" {
 		return f.Owner(c.match.Service, c.key)
@@ -61,9 +63,10 @@
 	return f.Pick(now, Query{Service: c.match.Service, Tried: tried, Rank: c.match.Rank, Objective: c.match.Objective})
 }
 
-// merge returns the failure of the whole call: once an attempt may have run,
-// no later attempt makes the call not run. It expects capacity when the first of
-// the instances does.
+// mergeFailures returns the failure of the whole call. Once an attempt may have
+// run, the result stays unknown even if a later attempt did not run. The
+// shortest known retry delay is kept, since capacity at any of the instances is
+// enough.
 func mergeFailures(last, failed *failure) *failure {
 	if last != nil && last.retryAfter > 0 && (failed.retryAfter == 0 || last.retryAfter < failed.retryAfter) {
 		failed.retryAfter = last.retryAfter
@@ -74,13 +77,14 @@
 	return failed
 }
 
-// again asks whether the call may be sent again.
+// retryDelay reports whether the call may be sent again, and after which delay.
 func (f *Forwarder) retryDelay(c *call, n, sends int, failed *failure) (time.Duration, bool) {
 	if failed.isRequestError() || failed.reason == reasonCanceled {
 		return 0, false
 	}
 	consumed := c.upload != nil && c.upload.revoke()
-	// A key of a node whose upstream leaves is about to change hands.
+	// The keys of a node whose upstream is draining are about to get a new
+	// owner.
 	ownerMoved := failed.reason == reasonKeyElsewhere || c.key != "" && failed.reason == reasonDraining
 	if ownerMoved && !consumed && n <= len(ownerChangeDelays) {
 		return ownerChangeDelays[n-1]/2 + rand.N(ownerChangeDelays[n-1]/2), true
@@ -98,16 +102,16 @@
 	return f.AllowRetry(now, attempt)
 }
 
-// moveDelays are the pauses after which a call whose key has changed hands is
-// sent again: the new owner's announcement takes a moment to arrive here. These
-// attempts take nothing from the retry budget, since the node that refused did
-// no work and an upstream sees none of them.
+// ownerChangeDelays are the delays before a call is sent again whose key changes
+// its owner, because the announcement of the new owner takes some time to reach
+// this node. These attempts are not charged to the retry budget: the node that
+// refused the call did no work and no upstream has seen it.
 var ownerChangeDelays = []time.Duration{
 	20 * time.Millisecond, 40 * time.Millisecond, 80 * time.Millisecond,
 	160 * time.Millisecond, 320 * time.Millisecond, 640 * time.Millisecond,
 }
 
-// attempt sends the call to one instance.
+// sendAttempt sends the call to one instance.
 func (f *Forwarder) sendAttempt(ctx context.Context, watchdog *watchdog, c *call, to sycamorerun.Instance, tried []string, n int) (*attemptResponse, *failure) {
 	if ctx.Err() != nil {
 		return nil, notRun(endReason(ctx, ""))
@@ -119,7 +123,7 @@
 	return f.sendToPeer(ctx, watchdog, c, to, tried, n, attemptNumber)
 }
 
-// source returns the body for the upstream beside this node.
+// requestBody returns the request body for the upstream beside this node.
 func (c *call) requestBody() io.ReadCloser {
 	if !c.buffered {
 		return c.upload.forAttempt()
@@ -127,8 +131,8 @@
 	return c.bodyReader()
 }
 
-// observed wraps the body of out so that the attempt is observed once, when
-// the body ends.
+// observeBody wraps the body of out, so that Observe is called once, when the
+// body ends.
 func (f *Forwarder) observeBody(ctx context.Context, start time.Time, c *call, to sycamorerun.Instance, out *attemptResponse) bodySource {
 	return &observedBody{bodySource: out.body, ctx: ctx, onEnd: func(result sycamorerun.Result, reason string) {
 		f.Observe(f.Now(), Observation{
@@ -138,7 +142,7 @@
 	}}
 }
 
-// observedBody reports how its source ended.
+// observedBody calls onEnd once with the result of its bodySource.
 type observedBody struct {
 	bodySource
 	ctx      context.Context
@@ -147,7 +151,7 @@
 	reported bool
 }
 
-// Next implements source.
+// Next implements bodySource.
 func (b *observedBody) Next() ([]byte, error) {
 	data, err := b.bodySource.Next()
 	if err == io.EOF {
@@ -157,10 +161,10 @@
 	return data, err
 }
 
-// Close implements source.
+// Close implements bodySource.
 func (b *observedBody) Close() {
 	b.bodySource.Close()
-	reason := reasonCanceled // the caller took no more of the response
+	reason := reasonCanceled // closed by the caller before the end
 	if b.failed {
 		reason = endReason(b.ctx, reasonResponseIncomplete)
 	}
--- a/node/forwarder/call.go
+++ b/node/forwarder/call.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// call is a request on its way to an upstream.
+// call is a request that is being forwarded to an upstream.
 type call struct {
 	match         Match
 	id            string
@@ -24,36 +24,39 @@
 	target        string
 	header        http.Header
 	trailers      []string
-	// trailer holds the values of trailers once the body has ended.
+	// trailer holds the values of the trailers once the body has ended.
 	trailer http.Header
 	length  int64
-	// body is the request body if complete, otherwise stream yields it.
+	// buffered says that body holds the whole request body. Otherwise upload
+	// streams it.
 	buffered bool
 	body     []byte
 	upload   *upload
-	// unread says that a body is left on an HTTP/1 connection of the caller. The
-	// connection must then be closed, since the rest of the body would be read
-	// as the next request.
+	// bodyUnread says that an unread body remains on the caller's HTTP/1
+	// connection. The connection must then be closed, because the remaining
+	// bytes would be parsed as the next request.
 	bodyUnread bool
-	// limits are those in force when the call began, persistent says that the
-	// caller keeps its connection. Both are for calls of callers.
+	// limits are the limits in force when the call started. persistent says that
+	// the caller keeps its connection open. Both are set only for calls received
+	// from callers, not from peers.
 	limits     *limits
 	persistent bool
 
 	key         string
 	fingerprint uint64
 	deadline    time.Time
-	// began is when the call entered at this node, arrived when it entered the
-	// fleet.
+	// startedAt is when the call reached this node, arrived when it reached the
+	// first node.
 	startedAt time.Time
 	arrived   time.Time
-	// until is when the caller has said that it gives up; zero means not said.
+	// callerDeadline is the deadline that the caller sent; zero means none.
 	callerDeadline time.Time
-	// reply is the time that is left to tell a peer that the call got no slot.
+	// replyMargin is the time reserved before the deadline for telling the peer
+	// that the call got no slot.
 	replyMargin time.Duration
 }
 
-// want describes the call for the queue.
+// slotRequest returns the request for a slot of the upstream.
 func (c *call) slotRequest() SlotRequest {
 	request := SlotRequest{Rank: c.match.Rank, Objective: c.match.Objective, Arrived: c.arrived, Nested: c.match.Nested}
 	if !c.deadline.IsZero() {
@@ -62,18 +65,19 @@
 	return request
 }
 
-// claim names the attempt with the given id for the deduplicator.
+// claim returns the claim of the attempt with the given id for the deduplicator.
 func (c *call) claim(id string) Claim {
 	return Claim{ID: id, Key: c.key, Fingerprint: c.fingerprint}
 }
 
-// identity returns the id of the n-th attempt of the call. Attempts have ids
-// of their own, since the refusal of one must not refuse the next.
+// attemptID returns the id of the n-th attempt. Each attempt has its own id,
+// since refusing one attempt must not refuse the next.
 func (c *call) attemptID(n int) string {
 	return c.id + "/" + strconv.Itoa(n)
 }
 
-// describe returns a call that begins at now, without what depends on the route.
+// newCall returns a call that starts at now, without the fields that depend on
+// the route.
 func (f *Forwarder) newCall(now time.Time, r *http.Request) *call {
 	return &call{
 		id: uuid.NewString(), startedAt: now, arrived: now, callerAttempt: 1, limits: f.limits.Load(), persistent: persistent(r),
@@ -81,7 +85,8 @@
 	}
 }
 
-// parse checks a caller's request and describes it as a call, without its body.
+// parseRequest validates a caller's request and returns it as a call without its
+// body.
 func (f *Forwarder) parseRequest(now time.Time, r *http.Request) (*call, *failure) {
 	c := f.newCall(now, r)
 	if r.Method == http.MethodConnect || r.URL.Path == "" {
@@ -126,8 +131,8 @@
 	return c, nil
 }
 
-// dotted reports whether path has a segment that an upstream may resolve to a
-// path outside the prefix that the router matched.
+// hasDotSegment reports whether path has a "." or ".." segment, which an
+// upstream may resolve to a path outside the prefix that the router matched.
 func hasDotSegment(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		if segment == "." || segment == ".." {
@@ -137,8 +142,8 @@
 	return false
 }
 
-// stated returns how long the caller has said that it waits; zero means that it
-// has not said.
+// parseDeadline parses the deadline header of a caller; zero means that the
+// caller sent none.
 func parseDeadline(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -147,12 +152,13 @@
 	if err != nil || ms == 0 {
 		return 0, errors.Errorf("deadline %q is not a positive number of milliseconds", text)
 	}
-	// A week is beyond every timeout and keeps the product in range.
+	// A week exceeds every timeout and avoids an overflow of the duration.
 	return time.Duration(min(ms, 7*24*3600*1000)) * time.Millisecond, nil
 }
 
-// fingerprint identifies what a key stands for, including who asks, so that a
-// recorded response is not given to a different request.
+// computeFingerprint hashes the request, including the caller's credentials, so
+// that a response recorded for an idempotency key is not returned for a
+// different request.
 func (c *call) computeFingerprint() uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{c.method, c.host, c.target} {
@@ -173,7 +179,7 @@
 	_, _ = io.WriteString(digest, strconv.Itoa(len(part))+":"+part)
 }
 
-// fill sets the values of the announced trailers.
+// setTrailers sets the values of the announced trailers.
 func (c *call) setTrailers(trailer http.Header) {
 	for name := range c.trailer {
 		if values, ok := trailer[name]; ok {
@@ -182,11 +188,11 @@
 	}
 }
 
-// request builds the request for the upstream.
+// newUpstreamRequest returns the request for the upstream.
 func (f *Forwarder) newUpstreamRequest(now time.Time, c *call, attemptNumber uint32, body io.ReadCloser) (*http.Request, error) {
 	address, err := url.ParseRequestURI(c.target)
 	if err != nil {
-		return nil, errors.Wrap(err, "target")
+		return nil, errors.Wrap(err, "parse request target")
 	}
 	address.Scheme, address.Host = "http", "upstream"
 	header := c.header.Clone()
@@ -197,7 +203,7 @@
 		setHeader(header, f.Contract.Deadline, strconv.FormatInt(max(1, c.deadline.Sub(now).Milliseconds()), 10))
 	}
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = []string{""} // keeps net/http from adding its own
+		header["User-Agent"] = []string{""} // keeps net/http from adding its default
 	}
 	request := &http.Request{
 		Method: c.method, URL: address, Host: c.host, Header: header,
--- a/node/forwarder/drain.go
+++ b/node/forwarder/drain.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// quietTime is the time without a call after which a lingering forwarder
-	// expects no request to be on its way on an open connection. A request on
+	// quietPeriod is the time without a call after which a lingering forwarder
+	// assumes that no request is in transit on an open connection. A request on
 	// an instance's own network arrives within a few milliseconds.
 	quietPeriod       = 250 * time.Millisecond
 	quietPollInterval = 10 * time.Millisecond
 )
 
-// drain counts the calls in flight and closes the entrance.
+// drain counts the calls in flight and stops the admission of calls.
 type drain struct {
 	mutex    sync.Mutex
 	inFlight int
-	// lingering is set when peers are refused and callers are to go, closed
-	// when callers are refused too.
+	// lingering says that peers are refused and callers are told to close their
+	// connections, closed that callers are refused too.
 	lingering bool
 	closed    bool
-	// last is the time of the last call that entered or left while lingering.
+	// lastActivity is when a call last started or ended while lingering.
 	lastActivity time.Time
-	// empty is closed when the entrance is closed and no call is in flight.
+	// drained is closed once closed is set and no call is in flight.
 	drained chan struct{}
 }
 
-// enter counts a call, unless the entrance is closed.
+// begin counts a caller's call as in flight. It returns false if calls are
+// refused.
 func (d *drain) begin() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.beginLocked()
 }
 
-// enterPeer counts a call of a peer.
+// beginPeer is begin for a call from a peer.
 func (d *drain) beginPeer() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -67,29 +68,29 @@
 	}
 }
 
-// linger refuses peers from now on.
+// linger starts refusing peers.
 func (d *drain) linger() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.lingering, d.lastActivity = true, time.Now()
 }
 
-// leaving reports whether callers are to close their connections.
+// isLingering reports whether callers are told to close their connections.
 func (d *drain) isLingering() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.lingering
 }
 
-// quiet reports whether there was no call for a while.
+// isQuiet reports whether no call was in flight for quietPeriod.
 func (d *drain) isQuiet(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.inFlight == 0 && now.Sub(d.lastActivity) >= quietPeriod
 }
 
-// close closes the entrance and returns a channel that is closed when the last
-// call has left.
+// close starts refusing all calls and returns a channel that is closed when the
+// last call in flight has ended.
 func (d *drain) close() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -103,9 +104,10 @@
 	return d.drained
 }
 
-// Drain keeps serving for Grace. Then it refuses peers, and serves callers until
-// they are quiet, at most for Linger. At last it refuses all new calls and
-// returns when the calls in flight have ended or ctx is done.
+// Drain keeps serving for Grace. It then refuses peers and serves callers until
+// they have sent no call for a quiet period, for at most Linger. Finally it
+// refuses all new calls and returns when the calls in flight have ended or ctx
+// is done.
 func (f *Forwarder) Drain(ctx context.Context) error {
 	if err := sleep(ctx, f.Grace); err != nil {
 		return err
--- a/node/forwarder/execute.go
+++ b/node/forwarder/execute.go
@@ -14,7 +14,7 @@
 	"sycamorerun/node/requester"
 )
 
-// answer is the response to an attempt. Its body must be closed.
+// attemptResponse is the response to an attempt. Its body must be closed.
 type attemptResponse struct {
 	status   int
 	header   http.Header
@@ -22,18 +22,18 @@
 	length   int64
 	body     bodySource
 	reason   string
-	// at is when the head of the response arrived.
+	// headAt is when the head of the response arrived.
 	headAt time.Time
 	load   *Load
 }
 
-// execute sends a call to the upstream beside this node. admitted is called
+// execute sends a call to the upstream beside this node. It calls onAdmitted
 // once the call holds a slot and may start.
 func (f *Forwarder) execute(ctx context.Context, watchdog *watchdog, c *call, id string, body io.ReadCloser, attemptNumber uint32, onAdmitted func() error) (*attemptResponse, *failure) {
 	ctx = WithService(ctx, c.match.Service)
 	release, rejection := f.Acquire(ctx, f.Now(), c.slotRequest())
 	if rejection.Reason == reasonCanceled {
-		// The limiter does not know why the call ended in the queue.
+		// The limiter does not know why the context of a queued call ended.
 		rejection.Reason = endReason(ctx, rejection.Reason)
 	}
 	if rejection.Reason != "" {
@@ -54,15 +54,16 @@
 	}
 	out, failed := f.roundTrip(ctx, watchdog, c, body, attemptNumber, onAdmitted, finish)
 	if failed != nil {
-		// An upstream has rejected a call with this reason.
+		// These reasons mean that the upstream received the call and rejected
+		// it.
 		failed.sent = failed.sent || failed.reason == reasonRejected || failed.reason == reasonMisdirected
 		finish(Completion{Result: failed.result})
 	}
 	return out, failed
 }
 
-// begin claims the execution. It returns neither a response nor a failure when
-// the call may start.
+// claimExecution claims the execution of a call. It returns neither a response
+// nor a failure if the call may start.
 func (f *Forwarder) claimExecution(claim Claim) (*attemptResponse, *failure) {
 	switch decision := f.Begin(f.Now(), claim); decision.Verdict {
 	case sycamorerun.VerdictRun:
@@ -84,8 +85,8 @@
 	}
 }
 
-// start sends the request and reads the head of the response, and the body too
-// if it is small.
+// roundTrip sends the request and reads the head of the response, and also the
+// body if it is small.
 func (f *Forwarder) roundTrip(ctx context.Context, watchdog *watchdog, c *call, body io.ReadCloser, attemptNumber uint32, onAdmitted func() error, finish func(Completion)) (*attemptResponse, *failure) {
 	if ctx.Err() != nil {
 		return nil, notRun(endReason(ctx, ""))
@@ -109,7 +110,7 @@
 	return out, failed
 }
 
-// classify says what the failure of a round trip means for the request.
+// classifyError maps the error of a round trip to the failure of the attempt.
 func classifyError(ctx context.Context, c *call, err error) *failure {
 	if errors.Is(err, ErrDraining) {
 		return notRun(reasonDraining)
@@ -128,7 +129,8 @@
 	return unknown(reason)
 }
 
-// receive describes the response of the upstream.
+// readResponse reads the response of the upstream. A body of up to
+// maxBufferedBodyBytes is read at once, a larger one is streamed.
 func (f *Forwarder) readResponse(ctx context.Context, watchdog *watchdog, c *call, response *http.Response, finish func(Completion)) (*attemptResponse, *failure) {
 	out := &attemptResponse{
 		status: response.StatusCode, header: f.endToEndHeader(response.Header),
@@ -154,7 +156,7 @@
 	}
 }
 
-// settle ends a call whose whole response is in memory.
+// finishBuffered finishes a call whose whole response is in memory.
 func (f *Forwarder) finishBuffered(out *attemptResponse, data []byte, finish func(Completion)) *attemptResponse {
 	body := bufferedBody(data)
 	out.body = &body
@@ -166,7 +168,7 @@
 	return out
 }
 
-// download is the body of a large response from the upstream.
+// upstreamBody is the body of a large response from the upstream.
 type upstreamBody struct {
 	response     *http.Response
 	filterHeader func(http.Header) http.Header
@@ -175,7 +177,7 @@
 	buffer       []byte
 }
 
-// Next implements source.
+// Next implements bodySource.
 func (b *upstreamBody) Next() ([]byte, error) {
 	if b.buffer == nil {
 		b.buffer = make([]byte, chunkBytes)
@@ -191,15 +193,15 @@
 			return nil, io.EOF
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "read response")
+			return nil, errors.Wrap(err, "read response body from the upstream")
 		}
 	}
 }
 
-// Trailer implements source.
+// Trailer implements bodySource.
 func (b *upstreamBody) Trailer() http.Header { return b.filterHeader(b.response.Trailer) }
 
-// Close implements source.
+// Close implements bodySource.
 func (b *upstreamBody) Close() {
 	_ = b.response.Body.Close()
 	b.finish(Completion{Result: sycamorerun.Unknown})
--- a/node/forwarder/frame.go
+++ b/node/forwarder/frame.go
@@ -17,15 +17,15 @@
 	"sycamorerun/encoder"
 )
 
-var errProtocol = errors.New("frame out of order")
+var errProtocol = errors.New("unexpected frame on a call stream")
 
-// link writes and reads the frames of one stream.
+// frameStream reads and writes the frames of one stream.
 type frameStream struct {
 	conn net.Conn
-	// buffer and chunk hold the frame received last.
+	// readBuffer and chunk hold the frame received last.
 	readBuffer []byte
 	chunk      Frame_Chunk
-	// received counts the bytes since the last shrink.
+	// receivedBytes counts the bytes received since the last shrink.
 	receivedBytes atomic.Int64
 	mutex         sync.Mutex
 	writeBuffer   []byte
@@ -38,9 +38,9 @@
 	return err
 }
 
-// sendUntil sends a frame, and returns when ctx ends also if the frame has not
-// been sent: a session whose connection takes no bytes blocks a write for
-// longer than its deadline.
+// sendContext sends a frame, but returns early when ctx is done. The deadline of
+// a write is not enough: a session whose connection accepts no data blocks the
+// write for longer.
 func (s *frameStream) sendContext(ctx context.Context, frame *Frame) error {
 	sent := make(chan error, 1)
 	go func() { sent <- s.send(frame) }()
@@ -60,7 +60,7 @@
 	}
 	size := int(binary.BigEndian.Uint32(prefix[:]))
 	if size > maxFrameBytes {
-		return nil, errors.Wrapf(encoder.ErrTooLarge, "%d bytes", size)
+		return nil, errors.Wrapf(encoder.ErrTooLarge, "frame of %d bytes", size)
 	}
 	if cap(s.readBuffer) < size {
 		s.readBuffer = make([]byte, size)
@@ -76,13 +76,13 @@
 	}
 	frame := &Frame{}
 	if cap(s.readBuffer) > maxIdleBufferBytes {
-		s.readBuffer = nil // a stream that waits for its next call keeps no large buffer
+		s.readBuffer = nil // an idle stream keeps no large buffer
 	}
-	return frame, errors.Wrap(proto.Unmarshal(data, frame), "decode frame")
+	return frame, errors.Wrap(proto.Unmarshal(data, frame), "decode call frame")
 }
 
-// shrink frees the buffers of a stream that waits for its next call. The
-// receive buffer of small calls is kept, since each would allocate it again.
+// shrink frees the buffers of a stream that waits for its next call. After small
+// calls the receive buffer is kept, since each call would allocate it again.
 func (s *frameStream) shrink() {
 	s.mutex.Lock()
 	s.writeBuffer = nil
@@ -95,30 +95,30 @@
 	}
 }
 
-// await tells the session whether a call waits on the stream.
+// setAwaiting tells the session whether a call waits on the stream.
 func (s *frameStream) setAwaiting(awaiting bool) {
 	if waiter, ok := s.conn.(interface{ Await(bool) }); ok {
 		waiter.Await(awaiting)
 	}
 }
 
-// broken describes the end of a stream. It is never io.EOF, which stands for
-// the end of a complete body.
+// wrapReadError wraps an error that ended a stream. The result is never io.EOF,
+// which means the end of a complete body.
 func wrapReadError(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
-	return errors.Wrap(err, "read frame")
+	return errors.Wrap(err, "read call frame")
 }
 
-// smallBytes is the size of the buffer that a waiting stream may keep.
+// maxIdleBufferBytes bounds the buffer that an idle stream keeps.
 const maxIdleBufferBytes = 4 << 10
 
-// chunkField is the number of the field chunk of Frame.
+// chunkFieldNumber is the number of the field chunk of Frame.
 const chunkFieldNumber = 5
 
-// chunkOf returns the bytes of a frame that is exactly one chunk. Chunks are
-// the bulk of the traffic, and proto.Unmarshal would copy them.
+// parseChunk returns the bytes of a frame that consists of exactly one chunk.
+// Chunks are most of the traffic, and proto.Unmarshal would copy them.
 func parseChunk(data []byte) ([]byte, bool) {
 	number, kind, n := protowire.ConsumeTag(data)
 	if n < 0 || number != chunkFieldNumber || kind != protowire.BytesType {
@@ -128,8 +128,8 @@
 	return chunk, rest >= 0 && n+rest == len(data)
 }
 
-// sendChunk sends a frame with a chunk, in the form of encoder.Write but with a
-// buffer that is used again.
+// sendChunk sends a chunk frame, encoded as encoder.Write does but in a reused
+// buffer.
 func (s *frameStream) sendChunk(data []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -139,13 +139,13 @@
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-4))
 	s.writeBuffer = frame
 	_, err := s.conn.Write(frame)
-	return errors.Wrap(err, "write chunk")
+	return errors.Wrap(err, "write chunk frame")
 }
 
-// cancel tells the other side that the call is no longer awaited, if the
-// stream takes the frame at once, and closes the stream, which means the same.
+// cancel sends a cancel frame if the stream accepts it at once, and closes the
+// stream. The peer takes the closed stream as a cancellation too.
 func (s *frameStream) cancel(now time.Time) {
-	_ = s.conn.SetReadDeadline(now) // whoever waits for a response waits no longer
+	_ = s.conn.SetReadDeadline(now) // unblocks a pending receive
 	_ = s.conn.SetWriteDeadline(now.Add(cancelTimeout))
 	if s.mutex.TryLock() {
 		_, _ = encoder.Write(s.conn, &Frame{Kind: &Frame_Cancel{Cancel: &Cancel{}}})
@@ -154,11 +154,11 @@
 	_ = s.conn.Close()
 }
 
-// cancelWait bounds the write of a cancel frame.
+// cancelTimeout bounds the write of a cancel frame.
 const cancelTimeout = 50 * time.Millisecond
 
-// sendBody sends the chunks of a body and its end. A body that breaks off has
-// an end that is not complete.
+// sendBody sends a body in chunks, followed by an end frame. The end frame of a
+// body that fails is not marked complete.
 func (s *frameStream) sendBody(next func() ([]byte, error), trailer func() http.Header, onProgress func()) error {
 	for {
 		data, err := next()
--- a/node/forwarder/header.go
+++ b/node/forwarder/header.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only. Expect is among
-// them because net/http answers it on the caller's connection.
+// hopByHop lists the headers that apply to a single connection. Expect is
+// included because net/http answers it on the caller's connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -16,8 +16,9 @@
 
 const internalPrefix = "Sycamorerun-"
 
-// clean returns a copy of header without hop-by-hop headers, the headers that
-// Connection names, and the project's own headers.
+// endToEndHeader returns a copy of header without hop-by-hop headers, the
+// headers that Connection lists, and the headers with the internal prefix that
+// the contract does not forward.
 func (f *Forwarder) endToEndHeader(header http.Header) http.Header {
 	connection := header["Connection"]
 	kept := make(http.Header, len(header)+4)
@@ -39,7 +40,7 @@
 	return len(name) >= len(internalPrefix) && strings.EqualFold(name[:len(internalPrefix)], internalPrefix)
 }
 
-// size returns the bytes of header on the wire.
+// headerSize returns the size of header on the wire in bytes.
 func headerSize(header http.Header) int {
 	total := 0
 	for name, values := range header {
@@ -50,7 +51,7 @@
 	return total
 }
 
-// announced returns the names of the trailers that may be passed on.
+// trailerNames returns the sorted names of the trailers that may be forwarded.
 func trailerNames(trailer http.Header) []string {
 	var names []string
 	for name := range trailer {
@@ -80,8 +81,8 @@
 	return header
 }
 
-// blank returns a header with the names and no values, the form in which
-// net/http takes trailers whose values follow the body.
+// emptyTrailer returns a header with names but no values. In this form net/http
+// accepts trailers whose values follow the body.
 func emptyTrailer(names []string) http.Header {
 	if len(names) == 0 {
 		return nil
--- a/node/forwarder/inbound.go
+++ b/node/forwarder/intake.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// inbound is a call that a peer sends. Its body arrives through a pipe unless
-// the head has it.
+// inboundCall is a call received from a peer. Its body arrives through a pipe
+// unless the head contains it.
 type inboundCall struct {
 	head       *Head
 	watchdog   atomic.Pointer[watchdog]
 	bodyReader *io.PipeReader
 	bodyWriter *io.PipeWriter
-	// trailer is set before out is closed and read after.
+	// trailer is set before bodyWriter is closed and read afterwards.
 	trailer http.Header
 }
 
@@ -27,7 +27,7 @@
 	return b
 }
 
-// reader returns the request body for the upstream.
+// requestBody returns the request body for the upstream.
 func (b *inboundCall) requestBody(c *call) io.ReadCloser {
 	if b.bodyReader != nil {
 		return &inboundBody{PipeReader: b.bodyReader, inbound: b, call: c}
@@ -41,8 +41,8 @@
 	}
 }
 
-// body is the request body for the upstream. It sets the trailers in the read
-// that ends it, which is when net/http permits that.
+// inboundBody is the request body for the upstream. It sets the trailers in the
+// read that returns io.EOF, since net/http permits changing them until then.
 type inboundBody struct {
 	*io.PipeReader
 	inbound *inboundCall
@@ -58,16 +58,17 @@
 	return n, err
 }
 
-// intake receives the frames of a peer.
+// callReceiver receives the frames that a peer sends on a stream.
 type callReceiver struct {
 	frames *frameStream
 	calls  chan *inboundCall
-	// current is the last call received; open says that its body has not ended.
+	// current is the call received last. bodyOpen says that its body has not
+	// ended.
 	current  *inboundCall
 	bodyOpen bool
 }
 
-// next waits for a call.
+// next waits for the next call.
 func (r *callReceiver) next(ctx context.Context, wait time.Duration) (*inboundCall, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -80,8 +81,8 @@
 	return nil, false
 }
 
-// run passes calls and their bodies on until the stream ends or a call is
-// canceled, and returns why.
+// run passes on calls and their bodies until the stream ends or a call is
+// canceled, and returns the cause.
 func (r *callReceiver) run() error {
 	for {
 		frame, err := r.frames.receive()
@@ -98,8 +99,8 @@
 				return r.abort(errProtocol)
 			}
 			r.recordProgress()
-			// A write fails when the upstream wants no more of the body; the
-			// stream is still read for a cancellation.
+			// The write fails if the upstream does not read the rest of the
+			// body. The stream must still be read to notice a cancellation.
 			_, _ = r.current.bodyWriter.Write(kind.Chunk)
 		case *Frame_End:
 			if !r.bodyOpen || !kind.End.GetComplete() {
@@ -115,11 +116,13 @@
 	}
 }
 
-// begin hands a call over. The peer sends the next head only after the
-// response, so at most one call waits while the one before it is closed.
+// dispatch passes on a call. The peer sends the next head only after the
+// response, so at most one call is queued while the previous one is being
+// closed.
 func (r *callReceiver) dispatch(head *Head) error {
 	if r.bodyOpen {
-		// A call that was refused before its body was sent has none.
+		// The previous call was refused before its body was sent, so its body
+		// has no end frame.
 		_ = r.current.bodyWriter.CloseWithError(io.ErrUnexpectedEOF)
 	}
 	r.current, r.bodyOpen = newInboundCall(head), !head.GetWhole()
@@ -137,8 +140,8 @@
 	}
 }
 
-// abort ends a body without its end mark, which makes the transport close the
-// upstream's connection instead of completing the request.
+// abort closes an open body with an error instead of io.EOF. The transport then
+// closes the upstream's connection instead of completing the request.
 func (r *callReceiver) abort(err error) error {
 	if r.bodyOpen {
 		_ = r.current.bodyWriter.CloseWithError(io.ErrUnexpectedEOF)
--- a/node/forwarder/limits.go
+++ b/node/forwarder/limits.go
@@ -12,22 +12,23 @@
 	"sycamorerun/parser"
 )
 
-// headerMost bounds the header of a request whatever the limits say. The server
-// that reads it has a fixed bound, see Server.
+// maxHeaderBytes bounds the header of a request regardless of the limits. The
+// server that reads it has a fixed bound, see Server.
 const maxHeaderBytes = parser.HeaderBytes
 
-// DefaultLimits are those of a new forwarder.
+// DefaultLimits are the limits of a new forwarder.
 var DefaultLimits = sycamorerun.Limits{Header: defaultMaxHeaderBytes, Body: 1 << 30}
 
-// limits are those of requests, and the value of the header Keep-Alive.
+// limits are the limits on requests, with the resulting value of the header
+// Keep-Alive.
 type limits struct {
 	sycamorerun.Limits
 	keepAlive []string
 }
 
-// SetLimits bounds the requests that begin from now on. A header limit of zero
-// is the default, a body limit of zero permits no body, and an idle time below a
-// second is not told to callers.
+// SetLimits sets the limits on requests that begin from now on. A header limit
+// of zero means the default and a body limit of zero permits no body. An idle
+// time below a second is not announced to callers.
 func (f *Forwarder) SetLimits(l sycamorerun.Limits) {
 	l.Header = cmp.Or(l.Header, DefaultLimits.Header)
 	next := &limits{Limits: l}
@@ -37,7 +38,7 @@
 	f.limits.Store(next)
 }
 
-// admits returns the failure of a request that is beyond the limits.
+// check returns the failure of a request that exceeds the limits, or nil.
 func (l *limits) check(r *http.Request) *failure {
 	if headerSize(r.Header)+len("Host: \r\n")+len(r.Host) > l.Header {
 		return notRun(reasonHeadersTooLarge)
@@ -48,14 +49,15 @@
 	return nil
 }
 
-// headerReasons are those of requests without a whole header, by status.
+// headerReasons are the reasons for requests whose header was not read
+// completely, by status.
 var headerReasons = map[int]string{
 	http.StatusRequestHeaderFieldsTooLarge: reasonHeadersTooLarge,
 	http.StatusRequestTimeout:              reasonHeadersSlow,
 }
 
-// RefuseHeader returns the response to a request whose header was not read, and counts
-// it as a call.
+// RefuseHeader returns the response to a request whose header could not be read,
+// and counts the request as a call.
 func (f *Forwarder) RefuseHeader(status int) []byte {
 	reason := headerReasons[status]
 	f.counter(counterKey{result: sycamorerun.NotRun, reason: reason}).Inc(1)
@@ -74,6 +76,6 @@
 	return response.Bytes()
 }
 
-// persistent reports whether the connection of r carries further requests, as
-// far as the caller decides that.
+// persistent reports whether the caller keeps the connection of r open for
+// further requests.
 func persistent(r *http.Request) bool { return r.ProtoMajor == 1 && !r.Close }
--- a/node/forwarder/metrics.go
+++ b/node/forwarder/metrics.go
@@ -13,13 +13,13 @@
 // latencyBuckets cover 100 µs to 26 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(100*time.Microsecond, 2, 19)
 
-// metrics caches counters and histograms, since a look-up in a tally scope
-// takes locks and builds maps.
+// metrics caches counters and histograms, since a lookup in a tally scope takes
+// locks and builds maps.
 type metrics struct {
 	counters, latencies sync.Map
 }
 
-// counter identifies a counter of calls.
+// counterKey identifies a counter of calls.
 type counterKey struct {
 	team   string
 	class  sycamorerun.Class
@@ -27,13 +27,13 @@
 	reason string
 }
 
-// latency identifies a histogram.
+// latencyKey identifies a latency histogram.
 type latencyKey struct {
 	team  string
 	class sycamorerun.Class
 }
 
-// record counts a call that ended at now, with its latency, and logs it.
+// recordCall counts a call that has just ended, records its latency and logs it.
 func (f *Forwarder) recordCall(c *call, result sycamorerun.Result, reason string) {
 	elapsed := f.Now().Sub(c.startedAt)
 	f.counter(counterKey{c.match.Team, c.match.Class, result, reason}).Inc(1)
--- a/node/forwarder/pool.go
+++ b/node/forwarder/pool.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// parkedMax bounds the streams that wait for a call to one address.
+	// maxIdlePerPeer bounds the idle streams to one address.
 	maxIdlePerPeer = 16
-	// parkedClient is the time for which a stream waits for its next call. It
-	// is shorter than the peer's, so that the peer does not close it first.
+	// clientIdleTimeout is how long a stream waits for its next call. It is
+	// shorter than the peer's serverIdleTimeout, so that the peer does not close
+	// the stream first.
 	clientIdleTimeout = 10 * time.Second
 	serverIdleTimeout = 30 * time.Second
-	// waitingMax bounds the streams of all peers that wait for a call. Each has
-	// two goroutines and its buffers, some 20 KB.
+	// maxIdlePeerStreams bounds the idle streams of all peers. Each takes two
+	// goroutines and about 20 KB of buffers.
 	maxIdlePeerStreams = 512
 )
 
-// parked is a stream between two calls.
+// idleStream is a stream between two calls.
 type idleStream struct {
 	frames    *frameStream
 	idleSince time.Time
 }
 
-// pool keeps streams that have carried a call to its clean end. Opening and
-// closing a stream costs more than a small call itself.
+// pool keeps streams whose last call ended cleanly. Opening and closing a stream
+// costs more than a small call.
 type pool struct {
 	mutex     sync.Mutex
 	streams   map[netip.AddrPort][]idleStream
@@ -33,7 +34,7 @@
 	closed    bool
 }
 
-// take returns the stream that was used last, or nil.
+// get returns the stream that was used last, or nil.
 func (p *pool) get(now time.Time, to netip.AddrPort) *frameStream {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -47,7 +48,7 @@
 	return last.frames
 }
 
-// give parks a stream, or closes it when there are enough.
+// put keeps a stream for the next call, or closes it if there are enough.
 func (p *pool) put(now time.Time, to netip.AddrPort, s *frameStream) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -62,7 +63,7 @@
 	p.streams[to] = append(p.streams[to], idleStream{s, now})
 }
 
-// sweep closes the streams that have waited too long.
+// closeExpired closes the streams that were idle for too long.
 func (p *pool) closeExpired(now time.Time) {
 	if now.Sub(p.lastSweep) < clientIdleTimeout/10 {
 		return
@@ -83,7 +84,7 @@
 	}
 }
 
-// close closes all parked streams and parks no more.
+// close closes all idle streams. Streams put later are closed at once.
 func (p *pool) close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/node/forwarder/query.go
+++ b/node/forwarder/query.go
@@ -9,10 +9,11 @@
 	"sycamorerun/encoder"
 )
 
-// queryBytes bounds the frames of a query.
+// queryBytes bounds the size of the frames of a query.
 const queryBytes = 1 << 10
 
-// query asks the node at to for the state of a call that was opened age ago.
+// query asks the node of an instance for the state of a call that was opened age
+// ago.
 func (f *Forwarder) query(ctx context.Context, to sycamorerun.Instance, id string, age time.Duration) (CallState, error) {
 	conn, err := f.Open(ctx, to.Address, KindQuery)
 	if err != nil {
--- a/node/forwarder/reason.go
+++ b/node/forwarder/reason.go
@@ -38,15 +38,16 @@
 	reasonResponseIncomplete = "response-incomplete"
 )
 
-// failure is the end of an attempt without a response.
+// failure describes an attempt that ended without a response.
 type failure struct {
 	result sycamorerun.Result
 	reason string
 	load   *Load
-	// sent says that the call may have reached an upstream, also if that has
+	// sent says that the call may have reached an upstream, even one that
 	// rejected it.
 	sent bool
-	// after is the time after which capacity is expected; zero means unknown.
+	// retryAfter is the time after which capacity is expected; zero means
+	// unknown.
 	retryAfter time.Duration
 }
 
@@ -56,17 +57,19 @@
 }
 
 const (
-	// retryLeast is the least time that a caller is told to wait. Slots become
-	// free within it, and a caller that returns faster costs more than it gains.
+	// minRetryAfter is the minimum delay that a caller is told. Slots become
+	// free within it, and an earlier retry costs more than it gains.
 	minRetryAfter = 50 * time.Millisecond
-	// retryUnknown is told when nothing is known of the capacity, for example
-	// when there is no upstream: news of one takes about this long to arrive.
+	// defaultRetryAfter is the delay that a caller is told if nothing is known
+	// of the capacity, for example if there is no upstream. The announcement of
+	// a new upstream takes about this long to arrive.
 	defaultRetryAfter = 250 * time.Millisecond
-	// retryJitter spreads the callers that were refused together.
+	// retryAfterJitter spreads the retries of callers that were refused
+	// together.
 	retryAfterJitter = 0.2
 )
 
-// retryAfter returns the value of the header Retry-After, in seconds with
+// retryAfterHeader returns the value of the header Retry-After, in seconds with
 // fractions. The random number is in [0, 1).
 func (f *failure) retryAfterHeader(random float64) string {
 	wait := f.retryAfter
@@ -77,7 +80,8 @@
 	return strconv.FormatFloat(max(seconds, minRetryAfter.Seconds()), 'f', 3, 64)
 }
 
-// faults are the statuses of requests that are themselves at fault.
+// requestErrorStatuses are the statuses of failures that the request itself
+// caused.
 var requestErrorStatuses = map[string]int{
 	reasonNoRoute:         http.StatusNotFound,
 	reasonBadRequest:      http.StatusBadRequest,
@@ -93,8 +97,8 @@
 // status returns the HTTP status for the caller.
 func (f *failure) status() int {
 	if f.reason == reasonBodyTooLarge {
-		// Also for a streamed body: the upstream may have seen a part of it, and a
-		// repetition is refused again.
+		// This holds also if the body was streamed and the upstream may have
+		// seen a part of it, since a repetition would be refused again.
 		return http.StatusRequestEntityTooLarge
 	}
 	if f.result == sycamorerun.NotRun {
@@ -109,7 +113,7 @@
 	return http.StatusBadGateway
 }
 
-// fault reports whether the request itself is to blame.
+// isRequestError reports whether the request itself caused the failure.
 func (f *failure) isRequestError() bool {
 	_, ok := requestErrorStatuses[f.reason]
 	return ok
--- a/node/forwarder/remote.go
+++ b/node/forwarder/remote.go
@@ -13,9 +13,9 @@
 	"sycamorerun"
 )
 
-// remote sends the call to the node beside another upstream. A parked stream
-// may have been lost without notice. If the peer has not seen the call, that
-// does not count as an attempt.
+// sendToPeer sends the call to the node beside another upstream. A pooled stream
+// may have been lost without notice. If the peer did not receive the call over
+// it, the call is sent again over a new stream within the same attempt.
 func (f *Forwarder) sendToPeer(ctx context.Context, watchdog *watchdog, c *call, to sycamorerun.Instance, tried []string, n int, attemptNumber uint32) (*attemptResponse, *failure) {
 	id := c.attemptID(n)
 	if frames := f.pool.get(f.Now(), to.Address); frames != nil {
@@ -33,13 +33,14 @@
 	return f.sendOnStream(ctx, watchdog, c, to, &frameStream{conn: conn}, id, attemptNumber)
 }
 
-// openTime bounds the opening of a stream when the call can go to another
-// instance. The largest round trip between regions is about 40 ms, and a session
-// takes few of them; a packet that is lost on the way costs a second.
+// openTimeout bounds the opening of a stream when the call can go to another
+// instance. The largest round trip between regions is about 40 ms, and setting
+// up a session takes only a few of them. A lost packet costs a second.
 const openTimeout = 250 * time.Millisecond
 
-// open opens a stream for a call. Nothing is sent before that, so a call that
-// waits for too long goes elsewhere, whether it may be repeated or not.
+// openStream opens a stream for a call. Nothing has been sent at that point, so
+// after a timeout the call can go to another instance even if it is not
+// repeatable.
 func (f *Forwarder) openStream(ctx context.Context, c *call, to sycamorerun.Instance, tried []string) (net.Conn, error) {
 	if c.key == "" && f.HasOtherInstance(c.match.Service, append(tried[:len(tried):len(tried)], to.Name)) {
 		openCtx, cancel := context.WithTimeout(ctx, openTimeout)
@@ -50,8 +51,8 @@
 		conn net.Conn
 		err  error
 	}
-	// A session whose connection takes no bytes blocks the opening of a stream,
-	// whatever ctx says.
+	// Opening a stream blocks, regardless of ctx, while the connection of its
+	// session accepts no data.
 	result := make(chan openResult, 1)
 	go func() {
 		conn, err := f.Open(ctx, to.Address, KindCall)
@@ -70,7 +71,7 @@
 	}
 }
 
-// through sends the call over a stream.
+// sendOnStream sends the call over a stream.
 func (f *Forwarder) sendOnStream(ctx context.Context, watchdog *watchdog, c *call, to sycamorerun.Instance, frames *frameStream, id string, attemptNumber uint32) (*attemptResponse, *failure) {
 	start := f.Now()
 	stopCancel := context.AfterFunc(ctx, func() { frames.cancel(time.Now()) })
@@ -81,14 +82,15 @@
 	frames.setAwaiting(true)
 	out, failed := f.exchangeFrames(ctx, body, c, id, attemptNumber)
 	if failed != nil && ctx.Err() != nil {
-		// Closing a stream can take long when the peer is silent, and the caller is
-		// answered at once.
+		// Closing a stream can block while the peer is silent, but the caller
+		// must get the result at once.
 		go body.Close()
 	} else if failed != nil {
 		body.Close()
 	}
 	if failed != nil && failed.reason == reasonCanceled {
-		// The peer was told to end the call, for a reason that only is known here.
+		// The peer saw only a cancellation; the reason for it is known on this
+		// node.
 		failed.reason = endReason(ctx, failed.reason)
 	}
 	if failed != nil && failed.reason == reasonPeerLost {
@@ -97,14 +99,15 @@
 	return out, failed
 }
 
-// exchange sends the head and waits for the head of the response.
+// exchangeFrames sends the head of the call and waits for the head of the
+// response.
 func (f *Forwarder) exchangeFrames(ctx context.Context, body *peerBody, c *call, id string, attemptNumber uint32) (*attemptResponse, *failure) {
 	head := toHead(f.Now(), c, id, attemptNumber)
 	if head == nil {
 		return nil, notRun(reasonHeadersTooLarge)
 	}
 	if err := body.frames.sendContext(ctx, &Frame{Kind: &Frame_Head{Head: head}}); errors.Is(err, net.ErrClosed) {
-		return nil, notRun(endReason(ctx, reasonPeerUnreachable)) // the stream ended before, and nothing was sent
+		return nil, notRun(endReason(ctx, reasonPeerUnreachable)) // the stream was already closed and nothing was sent
 	} else if err != nil {
 		return nil, unknown(reasonPeerLost)
 	}
@@ -150,14 +153,15 @@
 	}
 }
 
-// queryTime bounds the wait for a query after the deadline. It covers the way
-// between two regions and back, and tells most callers whose calls waited in a
-// queue that these did not run.
+// lateQueryTimeout bounds the wait for a query after the deadline. It covers a
+// round trip between two regions, which is enough to tell most callers whose
+// calls were queued that their calls did not run.
 const lateQueryTimeout = 50 * time.Millisecond
 
-// resolve asks the peer about a call whose stream was lost before a response.
-// At the deadline the answer waits for the query for queryTime at most. The query
-// still runs then, to keep an original that is late from running.
+// queryLostCall queries the peer about a call whose stream was lost before a
+// response. After the deadline it waits for at most lateQueryTimeout. The query
+// continues in the background, since it keeps a request that is still in transit
+// from running.
 func (f *Forwarder) queryLostCall(ctx context.Context, c *call, to sycamorerun.Instance, id string, sentAt time.Time) *failure {
 	reason := endReason(ctx, reasonPeerLost)
 	if reason == reasonCanceled {
@@ -167,11 +171,11 @@
 	go func() {
 		queryCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.QueryTimeout)
 		defer cancel()
-		progress, err := f.query(queryCtx, to, id, f.Now().Sub(sentAt))
+		state, err := f.query(queryCtx, to, id, f.Now().Sub(sentAt))
 		if err != nil {
-			progress = CallUnknown
+			state = CallUnknown
 		}
-		result <- progress
+		result <- state
 	}()
 	wait, timeoutReason := f.QueryTimeout, reason
 	if !c.deadline.IsZero() {
@@ -181,14 +185,15 @@
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	// An attempt without progress has ended, but its call has not.
+	// The context has already ended if the attempt was idle for too long, but
+	// the call goes on.
 	canceled := ctx.Done()
 	if ctx.Err() != nil {
 		canceled = nil
 	}
 	select {
-	case progress := <-result:
-		if progress != CallRefused {
+	case state := <-result:
+		if state != CallRefused {
 			return unknown(reason)
 		}
 		if reason == reasonPeerLost {
@@ -202,26 +207,26 @@
 	}
 }
 
-// inflow is the response body that a peer sends, and the request body on its
-// way there.
+// peerBody is the response body that a peer sends. It also sends the request
+// body over the same stream.
 type peerBody struct {
 	frames     *frameStream
 	watchdog   *watchdog
 	stopCancel func() bool
-	// park keeps the stream for another call.
+	// returnToPool keeps the stream for another call.
 	returnToPool func()
 	reusable     bool
 	uploading    bool
-	// sent says that only the end of the request body is left to send. If that
-	// fails, so does the stream.
+	// uploaded says that the whole request body was read and only its end frame
+	// is left to send. If sending that frame fails, the stream fails too.
 	uploaded atomic.Bool
 	trailer  http.Header
 	complete bool
 	closed   bool
 }
 
-// upload sends the request body in the background. It ends when the body has
-// been sent, or when the stream is closed.
+// startUpload sends the request body in the background, until the body has been
+// sent or the stream is closed.
 func (b *peerBody) startUpload(c *call) {
 	b.uploading = true
 	body := c.upload.forAttempt()
@@ -245,7 +250,7 @@
 	}()
 }
 
-// Next implements source.
+// Next implements bodySource.
 func (b *peerBody) Next() ([]byte, error) {
 	if b.complete {
 		return nil, io.EOF
@@ -260,7 +265,7 @@
 		return kind.Chunk, nil
 	case *Frame_End:
 		if !kind.End.GetComplete() {
-			return nil, errors.Wrap(io.ErrUnexpectedEOF, "response")
+			return nil, errors.Wrap(io.ErrUnexpectedEOF, "response body from the peer incomplete")
 		}
 		b.complete, b.trailer = true, fromFields(kind.End.GetTrailers())
 		return nil, io.EOF
@@ -269,10 +274,10 @@
 	}
 }
 
-// Trailer implements source.
+// Trailer implements bodySource.
 func (b *peerBody) Trailer() http.Header { return b.trailer }
 
-// Close implements source.
+// Close implements bodySource.
 func (b *peerBody) Close() {
 	if b.closed {
 		return
@@ -286,8 +291,8 @@
 	_ = b.frames.conn.Close()
 }
 
-// toHead describes the call for a peer, or returns nil if it does not fit in a
-// frame.
+// toHead returns the head frame of the call for a peer, or nil if the header is
+// too large for a frame.
 func toHead(now time.Time, c *call, id string, attemptNumber uint32) *Head {
 	head := &Head{
 		Id: id, Call: c.id, Service: c.match.Service, Class: string(c.match.Class), Method: c.method, Host: []byte(c.host),
--- a/node/forwarder/refusals.go
+++ b/node/forwarder/returns.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// returnsMax bounds the refused calls that are remembered.
+	// maxRefusedCalls bounds the refused calls that are remembered.
 	maxRefusedCalls = 4096
-	// returnSlack is how much longer than before a caller may say that it waits
-	// when it comes back: it rounds, and its clock is not this node's.
+	// deadlineTolerance is how much later than the deadline of the refused call
+	// that of its repetition may be, since callers round their timeouts and
+	// their clocks differ from this node's.
 	deadlineTolerance = 100 * time.Millisecond
 )
 
-// returns remembers calls that were refused, by method, host and target. Callers
-// come back to the node that refused them, with a new id; a call that comes back
-// counts from its first arrival, since its caller's objective does.
+// refusalCache remembers refused calls by method, host and target. Callers
+// repeat a refused call at the same node, under a new id. The age of a repeated
+// call counts from its first arrival, as does its caller's latency objective.
 type refusalCache struct {
 	seed  maphash.Seed
 	mutex sync.Mutex
 	calls map[uint64]refusedCall
 }
 
-// refused is a call that was refused. Its caller gives up at until.
+// refusedCall is a call that was refused. Its caller gives up at callerDeadline.
 type refusedCall struct {
 	arrived        time.Time
 	callerDeadline time.Time
@@ -37,8 +38,8 @@
 	return maphash.Comparable(r.seed, [3]string{c.method, c.host, c.target})
 }
 
-// add remembers c, which is refused at now. Calls whose callers don't say how long
-// they wait are left out: nothing would tell their return from another call.
+// add remembers c, which is refused at now. Calls without a caller's deadline
+// are not remembered, since their repetitions can't be told from other calls.
 func (r *refusalCache) add(now time.Time, c *call) {
 	if !now.Before(c.callerDeadline) {
 		return
@@ -58,8 +59,9 @@
 	r.calls[r.key(c)] = refusedCall{arrived: c.arrived, callerDeadline: c.callerDeadline}
 }
 
-// first returns when c arrived first, if it is a call that comes back: the caller
-// gives up no later than that of the refused one.
+// takeArrival returns and forgets the arrival of the refused call that c
+// repeats. The deadline of a repetition is no later than that of the refused
+// call.
 func (r *refusalCache) takeArrival(now time.Time, c *call) (time.Time, bool) {
 	if c.callerDeadline.IsZero() {
 		return time.Time{}, false
--- a/node/forwarder/serve_call.go
+++ b/node/forwarder/serve_call.go
@@ -10,9 +10,9 @@
 	"sycamorerun"
 )
 
-// ServeCall handles a stream of kind call: it admits each call on it, sends it
-// to the upstream beside this node and the response back. A stream carries one
-// call at a time; it stays open for the next one when a call has ended cleanly.
+// ServeCall handles a stream of kind call. It sends each call to the upstream
+// beside this node and returns the response. A stream carries one call at a time
+// and stays open for the next one if a call ended cleanly.
 func (f *Forwarder) ServeCall(ctx context.Context, stream net.Conn) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(errDone)
@@ -36,10 +36,11 @@
 	}
 }
 
-// keep reports whether a stream may stay open for another call.
+// canKeepStream reports whether a stream may stay open for another call.
 func (f *Forwarder) canKeepStream() bool { return f.idlePeerStreams.Load() < maxIdlePeerStreams }
 
-// serve handles one call and reports whether the stream can carry another.
+// handleCall handles one call and reports whether the stream can carry another
+// one.
 func (f *Forwarder) handleCall(ctx context.Context, frames *frameStream, inbound *inboundCall) bool {
 	defer inbound.close()
 	if !f.drain.beginPeer() {
@@ -58,11 +59,11 @@
 	}
 	out, failed := f.execute(ctx, watchdog, c, inbound.head.GetId(), inbound.requestBody(c), inbound.head.GetAttempt(), onAdmitted)
 	if failed != nil {
-		_ = level.Debug(f.Logger).Log("msg", "call of a peer not answered", "request", inbound.head.GetId(),
+		_ = level.Debug(f.Logger).Log("msg", "call from a peer failed", "request", inbound.head.GetId(),
 			"service", c.match.Service, "result", failed.result, "reason", failed.reason)
 		return f.sendRefusal(frames, c.match, failed)
 	}
-	_ = level.Debug(f.Logger).Log("msg", "call of a peer answered", "request", inbound.head.GetId(),
+	_ = level.Debug(f.Logger).Log("msg", "call from a peer answered", "request", inbound.head.GetId(),
 		"service", c.match.Service, "status", out.status)
 	defer out.body.Close()
 	// Unblocks a write to a peer that stopped reading.
@@ -83,8 +84,8 @@
 	return err == nil && keep
 }
 
-// sendRefusal tells the peer that there is no response to its call, and
-// reports whether the stream can carry another call.
+// sendRefusal tells the peer that its call gets no response, and reports whether
+// the stream can carry another call.
 func (f *Forwarder) sendRefusal(frames *frameStream, match Match, failed *failure) bool {
 	keep := f.canKeepStream()
 	_ = frames.conn.SetWriteDeadline(f.Now().Add(headTimeout))
@@ -96,9 +97,9 @@
 	return err == nil && keep
 }
 
-// replyTime is the time before the deadline at which a call leaves the queue, so
-// that its caller's node knows at the deadline that it did not run. It covers
-// the way between two regions and back.
+// maxReplyMargin is how long before the deadline a call leaves the queue, so
+// that the peer knows at the deadline that the call did not run. It covers a
+// round trip between two regions.
 const maxReplyMargin = 50 * time.Millisecond
 
 func fromHead(now time.Time, head *Head) *call {
--- a/node/forwarder/serve_http.go
+++ b/node/forwarder/serve_http.go
@@ -14,8 +14,8 @@
 	"sycamorerun"
 )
 
-// writeWait is the time for which a write of a response that is in memory may go
-// on after its call has ended.
+// finalWriteTimeout bounds the write of a buffered response after its call has
+// ended.
 const finalWriteTimeout = 100 * time.Millisecond
 
 // ServeHTTP handles a caller's request.
@@ -45,14 +45,16 @@
 		c.fingerprint = c.computeFingerprint()
 	}
 	if c.callerAttempt == 1 {
-		// A call that stems from a retry earns none. Otherwise the retries of each
-		// level of a chain would raise the budgets of all levels below it.
+		// A retry from further up the call chain must not add to the retry
+		// budget. Otherwise the retries at each level would raise the budgets of
+		// all levels below it.
 		f.CountCall(now, c.match.Service)
 	}
 	out, failed := f.sendWithRetries(ctx, watchdog, c)
 	if failed != nil {
 		if c.upload != nil && c.upload.tooLarge.Load() {
-			// Whatever the attempt failed of, the body was cut at its limit.
+			// The body was cut at its limit, which takes precedence over the
+			// error of the attempt.
 			failed.reason = reasonBodyTooLarge
 		}
 		f.writeFailure(w, c, failed)
@@ -61,7 +63,8 @@
 	f.writeResponse(ctx, watchdog, w, control, c, out)
 }
 
-// take reads a small body, or prepares the stream of a large one.
+// prepareBody reads a small body into memory, or sets up the upload of a large
+// one.
 func (f *Forwarder) prepareBody(ctx context.Context, watchdog *watchdog, control *http.ResponseController, c *call, r *http.Request) *failure {
 	if c.length == 0 || r.Body == nil || r.Body == http.NoBody {
 		c.buffered, c.bodyUnread, c.length = true, false, 0
@@ -72,7 +75,7 @@
 	if c.length > maxBufferedBodyBytes || c.length < 0 || len(c.trailers) > 0 {
 		_ = control.EnableFullDuplex()
 		bodyTimer := f.newBodyTimer(watchdog)
-		bodyTimer.Stop() // runs during reads
+		bodyTimer.Stop() // runs only during reads
 		c.upload = &upload{
 			body: r.Body, remaining: int64(c.limits.Body), watchdog: watchdog, stopUnblock: release, idleTimeout: f.BodyTimeout, idleTimer: bodyTimer,
 			onEnd: func() { c.setTrailers(r.Trailer) },
@@ -97,8 +100,8 @@
 			return notRun(reasonBodyIncomplete)
 		}
 	}
-	// The read that returns io.EOF lets the server watch the connection, which
-	// is how it notices that the caller has gone.
+	// After the read that returns io.EOF, the server watches the connection and
+	// so notices when the caller disconnects.
 	if n, err := io.ReadFull(r.Body, make([]byte, 1)); n != 0 || err != io.EOF {
 		return notRun(reasonBodyIncomplete)
 	}
@@ -106,14 +109,14 @@
 	return nil
 }
 
-// patience returns a timer that ends a call whose caller has sent nothing of its
-// body for BodyWait. The idle limit of a service can be far longer, since it is
-// for upstreams.
+// newBodyTimer returns a timer that ends the call if the caller sends nothing of
+// its body for BodyTimeout. The idle timeout of a service applies to upstreams
+// and can be far longer.
 func (f *Forwarder) newBodyTimer(watchdog *watchdog) *time.Timer {
 	return time.AfterFunc(f.BodyTimeout, func() { watchdog.cancelCall(errIdle) })
 }
 
-// fail tells the caller that there is no response, and why.
+// writeFailure sends the caller a response that says why the call failed.
 func (f *Forwarder) writeFailure(w http.ResponseWriter, c *call, failed *failure) {
 	f.recordCall(c, failed.result, failed.reason)
 	header := w.Header()
@@ -126,31 +129,34 @@
 	f.setConnectionHeaders(header, c)
 	control := http.NewResponseController(w)
 	if c.bodyUnread && c.upload == nil {
-		// The server reads some of the rest when the handler has returned.
+		// The server reads a part of the remaining body after the handler has
+		// returned.
 		_ = control.SetReadDeadline(time.Now().Add(discardTimeout))
 	}
 	text := string(failed.result) + ": " + failed.reason + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(failed.status())
 	_, _ = io.WriteString(w, text)
-	// The handler may still read the rest of the caller's body.
+	// Flushed because the handler may go on to read the rest of the caller's
+	// body.
 	_ = control.Flush()
 }
 
-// Decline answers a request that is not looked at, with status 503.
+// Decline rejects a request with status 503 and reason, without examining it.
 func (f *Forwarder) Decline(w http.ResponseWriter, r *http.Request, reason string) {
 	f.writeFailure(w, f.newCall(f.Now(), r), notRun(reason))
 }
 
-// reply passes the response on. It aborts the caller's connection when the
-// response breaks off, so that a part is never taken for the whole.
+// writeResponse sends the response to the caller. It aborts the caller's
+// connection if the response is incomplete, so that the caller can't take a part
+// for the whole response.
 func (f *Forwarder) writeResponse(ctx context.Context, watchdog *watchdog, w http.ResponseWriter, control *http.ResponseController, c *call, out *attemptResponse) {
 	defer out.body.Close()
 	var data []byte
 	var err error
 	if out.length >= 0 {
-		// The head waits for the first bytes of a response that has them, since
-		// before the head a failure can still be explained.
+		// The head is sent after the first bytes of a body of known length,
+		// since a failure can be reported only before the head.
 		if data, err = out.body.Next(); err != nil && err != io.EOF {
 			f.writeFailure(w, c, unknown(endReason(ctx, reasonResponseIncomplete)))
 			return
@@ -173,7 +179,7 @@
 		if err != nil {
 			reason := endReason(ctx, reasonResponseIncomplete)
 			f.recordCall(c, sycamorerun.Unknown, reason)
-			_ = level.Warn(f.Logger).Log("msg", "response broken off", "request", c.id, "caller", c.header.Get(f.Contract.Identity),
+			_ = level.Warn(f.Logger).Log("msg", "response to the caller aborted before its end", "request", c.id, "caller", c.header.Get(f.Contract.Identity),
 				"service", c.match.Service, "reason", reason, "err", err)
 			panic(http.ErrAbortHandler)
 		}
@@ -186,7 +192,8 @@
 }
 
 // limitWrites ends the writes to a caller when ctx ends. The returned function
-// takes the limit back: it would fail the next response on the connection.
+// removes the write deadline, which would otherwise fail the next response on
+// the connection.
 func limitWrites(ctx context.Context, control *http.ResponseController) func() {
 	limited := make(chan struct{})
 	release := context.AfterFunc(ctx, func() {
@@ -201,7 +208,7 @@
 	}
 }
 
-// head passes the head of the response on.
+// writeHead sends the head of the response to the caller.
 func (f *Forwarder) writeHead(w http.ResponseWriter, c *call, out *attemptResponse) {
 	header := w.Header()
 	for name, values := range out.header {
@@ -215,7 +222,7 @@
 	w.WriteHeader(out.status)
 }
 
-// outcome tells the caller how its call ended, in the headers of the contract.
+// setOutcomeHeaders sets the headers that tell the caller how its call ended.
 func (f *Forwarder) setOutcomeHeaders(header http.Header, c *call, result sycamorerun.Result, reason string) {
 	setHeader(header, f.Contract.Outcome, string(result))
 	if reason != "" {
@@ -224,9 +231,9 @@
 	setHeader(header, f.Contract.Request, c.id)
 }
 
-// persist tells the caller whether its connection stays open, and for how long
-// without a request. It closes when the body is not read, or the node is about
-// to end.
+// setConnectionHeaders tells the caller whether its connection stays open, and
+// for how long while idle. The connection is closed if the body was not read or
+// the node is shutting down.
 func (f *Forwarder) setConnectionHeaders(header http.Header, c *call) {
 	unread := c.bodyUnread && (c.upload == nil || !c.upload.complete.Load())
 	switch {
--- a/node/forwarder/transport.go
+++ b/node/forwarder/transport.go
@@ -6,8 +6,8 @@
 	"sycamorerun/node/requester"
 )
 
-// Transport returns a requester to the upstream at address that has at most
-// connections open and checks responses by the contract.
+// Transport returns a requester for the upstream at address that opens at most
+// the given number of connections and checks responses against the contract.
 func Transport(address netip.AddrPort, connections int, contract Contract) *requester.Requester {
 	transport := requester.New(address, connections)
 	transport.Contract = requester.Contract{
--- a/node/forwarder/upload.go
+++ b/node/forwarder/upload.go
@@ -11,41 +11,44 @@
 	"github.com/pkg/errors"
 )
 
-var errBodyTooLarge = errors.New("body too large")
+var errBodyTooLarge = errors.New("request body exceeds the limit")
 
-// linger is the time for which a caller's unread body is still read after the
-// response, so that the caller is not cut off before it has the response.
+// discardTimeout is how long the rest of a caller's body is still read after the
+// response. Closing the connection earlier could cut off the caller before it
+// has read the response.
 const discardTimeout = 200 * time.Millisecond
 
-// upload is a caller's body that streams. Each attempt reads it through an
-// attemptBody of its own, and the handler shuts it.
+// upload is the streamed request body of a caller. Each attempt reads it through
+// its own attemptBody. The handler ends all reads with finish.
 type upload struct {
-	// assigning guards current, which alone may read, and taken.
+	// attemptMutex guards current, the only attemptBody that may read, and
+	// consumed.
 	attemptMutex sync.Mutex
 	current      *attemptBody
-	// taken says that some of the body was read: it can't be sent again.
+	// consumed says that a part of the body was read, so that the body can't be
+	// sent again.
 	consumed bool
-	// mutex is held during a read.
+	// readMutex is held during a read.
 	readMutex sync.Mutex
 	body      io.ReadCloser
-	// finished is called at the end of the body.
+	// onEnd is called at the end of the body.
 	onEnd     func()
 	remaining int64
 	watchdog  *watchdog
-	// patience runs during each read, for at most wait.
+	// idleTimer runs during each read, for at most idleTimeout.
 	idleTimer   *time.Timer
 	idleTimeout time.Duration
-	// release stops the function that unblocks a read when the call ends.
+	// stopUnblock stops the function that unblocks a read when the call ends.
 	stopUnblock func() bool
 	closed      bool
 	complete    atomic.Bool
 	tooLarge    atomic.Bool
 }
 
-// attemptBody is the body for one attempt. The goroutine that sends it may
-// outlive the attempt: when an upstream rejects a request whose head it has read,
-// the sender may not have asked for the body yet. It must not take bytes from
-// the next attempt then.
+// attemptBody is the request body for one attempt. The goroutine that sends it
+// may outlive the attempt: if an upstream rejects a request after reading its
+// head, the sender may not have started to read the body. It must then not
+// consume bytes that belong to the next attempt.
 type attemptBody struct{ upload *upload }
 
 // forAttempt returns the body for the next attempt.
@@ -56,8 +59,8 @@
 	return u.current
 }
 
-// revoke keeps the attempt that is over from reading, and reports whether some of
-// the body was read.
+// revoke keeps the attempt that has ended from reading, and reports whether a
+// part of the body was read.
 func (u *upload) revoke() bool {
 	u.attemptMutex.Lock()
 	defer u.attemptMutex.Unlock()
@@ -73,10 +76,10 @@
 	return a.upload.read(p)
 }
 
-// Close implements io.Closer. The body itself belongs to the server.
+// Close implements io.Closer. The server closes the underlying body.
 func (a *attemptBody) Close() error { return nil }
 
-// take reports whether a may read.
+// startRead reports whether a may read, and marks the body as consumed if so.
 func (u *upload) startRead(a *attemptBody) bool {
 	u.attemptMutex.Lock()
 	defer u.attemptMutex.Unlock()
@@ -110,7 +113,7 @@
 	return n, err
 }
 
-// finish ends all reading. After it returns the body is no longer in use.
+// finish ends all reads. The body is no longer in use after it returns.
 func (u *upload) finish(control *http.ResponseController, now time.Time) {
 	u.stopUnblock()
 	u.idleTimer.Stop()
@@ -122,7 +125,7 @@
 	u.closed = true
 }
 
-// reader returns a complete body.
+// bodyReader returns a reader of a buffered body.
 func (c *call) bodyReader() io.ReadCloser {
 	if len(c.body) == 0 {
 		return http.NoBody
--- a/node/forwarder/watchdog.go
+++ b/node/forwarder/watchdog.go
@@ -11,28 +11,28 @@
 )
 
 var (
-	errIdle     = errors.New("no progress within the idle limit")
-	errCanceled = errors.New("the caller canceled the call")
-	errDone     = errors.New("the call has ended")
+	errIdle     = errors.New("no progress within the idle timeout")
+	errCanceled = errors.New("call canceled by the caller")
+	errDone     = errors.New("call has ended")
 )
 
-// watch ends a call at its deadline, and the attempt that is under way when it
-// makes no progress.
+// watchdog ends a call at its deadline, and an attempt that makes no progress
+// for the idle timeout.
 type watchdog struct {
 	deadline time.Time
 	idle     time.Duration
 	timer    *time.Timer
-	// cancel ends the call.
+	// cancelCall ends the call.
 	cancelCall context.CancelCauseFunc
 
 	mutex sync.Mutex
-	// stalled ends the attempt, or the call outside of attempts.
+	// cancelIdle ends the current attempt, or the call if no attempt is running.
 	cancelIdle context.CancelCauseFunc
 }
 
-// bound returns a context that ends at the deadline, when progress is not
-// called for idle, or with the cause given to stop. A limit of zero means none.
-// One timer serves both limits.
+// withWatchdog returns a context that ends at the deadline, after idle without a
+// call of recordProgress, or with the cause passed to the returned function. A
+// limit of zero means none. One timer serves both limits.
 func withWatchdog(parent context.Context, deadline time.Time, idle time.Duration) (context.Context, *watchdog, context.CancelCauseFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	w := &watchdog{deadline: deadline, idle: idle, cancelCall: cancel, cancelIdle: cancel}
@@ -47,10 +47,10 @@
 	}
 }
 
-// attempt returns the context of one attempt. From now on a lack of progress
-// ends the attempt and not the call, so that another instance can be tried. A
-// streamed body can't be sent again, and the caller who stopped sending it may
-// be the cause, so there the call ends.
+// startAttempt returns the context of one attempt. From then on a lack of
+// progress ends the attempt instead of the call, so that another instance can be
+// tried. A streamed body is an exception and the call ends: the body can't be
+// sent again, and it may be the caller that stopped sending it.
 func (w *watchdog) startAttempt(ctx context.Context, c *call) (context.Context, context.CancelCauseFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	if c.buffered {
@@ -62,7 +62,8 @@
 	return ctx, cancel
 }
 
-// next returns the time until the first limit, or zero if there is none.
+// untilNextLimit returns the time until the next limit, or zero if there is
+// none.
 func (w *watchdog) untilNextLimit(now time.Time) time.Duration {
 	if w.deadline.IsZero() {
 		return w.idle
@@ -90,7 +91,8 @@
 	}
 }
 
-// ended returns the reason for which ctx ended, or otherwise if it has not.
+// endReason returns the reason for the end of ctx, or fallback if it has not
+// ended.
 func endReason(ctx context.Context, fallback string) string {
 	if ctx.Err() == nil {
 		return fallback
@@ -105,8 +107,8 @@
 	}
 }
 
-// source yields a body. Next returns io.EOF only at the end of a complete
-// body, and bytes that are valid until the following call.
+// bodySource reads a body. Next returns io.EOF only at the end of a complete
+// body. Its bytes are valid until the next call.
 type bodySource interface {
 	Next() ([]byte, error)
 	// Trailer returns the trailers once Next has returned io.EOF.
@@ -114,7 +116,7 @@
 	Close()
 }
 
-// whole is the source of a body that is in memory.
+// bufferedBody is the bodySource of a body that is in memory.
 type bufferedBody []byte
 
 func (b *bufferedBody) Next() ([]byte, error) {
