--- a/node/forwarder/bench_test.go
+++ b/node/forwarder/bench_test.go
@@ -17,15 +17,15 @@
 	"sycamorerun/node/limiter"
 )
 
-// way is one way for a request to reach the upstream.
+// path is one of the paths on which a request can reach the upstream.
 type path struct {
 	name   string
 	client *http.Client
 	url    string
 }
 
-// ways returns a direct call, the local path, and the path through a peer over
-// a yamux session on a loopback connection.
+// newPaths returns a direct call, the local path, and the path through a peer
+// over a yamux session on a loopback connection.
 func newPaths(b *testing.B, body string) []path {
 	b.Helper()
 	local := newFixture(b, true, reply(body))
@@ -52,7 +52,8 @@
 	}
 }
 
-// sessions connects to a server that hands its streams to the peer.
+// newSession connects to a server that passes its streams to the node beside the
+// upstream.
 func newSession(b *testing.B, peer *fixture) *yamux.Session {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -111,8 +112,9 @@
 	return time.Since(start)
 }
 
-// BenchmarkAdded calls the three ways in turn, one call at a time, so that the
-// difference between them does not depend on the state of the machine.
+// BenchmarkAddedLatency measures the latency that the nodes add. It calls the
+// three paths in turn, one call at a time, so that their differences do not
+// depend on the state of the machine.
 func BenchmarkAddedLatency(b *testing.B) {
 	paths := newPaths(b, "a short response")
 	histograms := make([]*hdrhistogram.Histogram, len(paths))
@@ -137,8 +139,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkCalls measures throughput, processor time and allocations per call,
-// of the caller, the nodes and the upstream together: subtract the direct one.
+// BenchmarkCalls measures throughput, processor time and allocations per call of
+// the caller, the nodes and the upstream together. The share of the nodes is the
+// difference to the direct path.
 func BenchmarkCalls(b *testing.B) {
 	for name, body := range map[string]string{"small": "a short response", "1MiB": largeBody} {
 		for _, each := range newPaths(b, body) {
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -18,14 +18,15 @@
 	"sycamorerun/node/limiter"
 )
 
-// answerTime is the target for the answer at a deadline.
+// maxAnswerDelay bounds the delay between the deadline and the answer to the
+// caller.
 const maxAnswerDelay = 100 * time.Millisecond
 
-// stuckConn is a stream of a session that takes no bytes. Like one of yamux, it
-// does not heed deadlines then.
+// blockedConn is a stream of a session whose connection accepts no data. Like a
+// stream of yamux, it ignores deadlines in this state.
 type blockedConn struct {
 	net.Conn
-	// writes is the number of writes before that.
+	// writesLeft is the number of writes that still succeed.
 	writesLeft atomic.Int64
 }
 
@@ -42,7 +43,7 @@
 	return c.Conn.Close()
 }
 
-// mute takes everything and answers nothing.
+// dialSilent returns a stream whose peer reads everything and sends nothing.
 func dialSilent(_ context.Context, _ netip.AddrPort, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, server) }()
@@ -60,17 +61,17 @@
 	return conn, err
 }
 
-// hang opens nothing, whatever its context says.
+// dialHanging blocks regardless of its context and then fails.
 func dialHanging(context.Context, netip.AddrPort, string) (net.Conn, error) {
 	time.Sleep(time.Second)
 	return nil, errRefusedDial
 }
 
-// Guards against an answer that is late because something is silent at the
-// deadline, and against work that goes on after it. In real time, a busy machine
-// lets the thread with the call's timer wait for up to 620 ms, so the waits are
-// measured by the clock of synctest, and the work by the processor time of the
-// whole call.
+// Guards against an answer that is delayed beyond the deadline because a peer or
+// upstream is silent, and against work that continues after the deadline. On a
+// busy machine, the thread with the call's timer may be delayed by up to 620 ms
+// in real time. Delays are therefore measured on the clock of synctest, and work
+// by the processor time of the whole call.
 func TestDeadlineIsPrompt(t *testing.T) {
 	const both, local, peer = 0, 1, 2
 	fillSlots := func(fx *fixture) {
@@ -78,7 +79,7 @@
 		_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
 	}
 	cases := map[string]struct {
-		on      int
+		path    int
 		setUp   func(fx *fixture)
 		body    string
 		status  int
@@ -88,11 +89,11 @@
 		"silent upstream, large upload": {body: largeBody, status: 504, reached: true},
 		"queued":                        {setUp: fillSlots, status: 503},
 		"queued, large upload":          {setUp: fillSlots, body: largeBody, status: 503},
-		"silent peer":                   {on: peer, setUp: func(fx *fixture) { fx.open = dialSilent }, status: 504},
-		"peer takes no bytes":           {on: peer, setUp: func(fx *fixture) { fx.open = dialBlocked }, status: 504},
-		"peer takes the head only":      {on: peer, setUp: func(fx *fixture) { fx.open = dialBlockedAfterHead }, status: 504},
-		"peer hangs in connecting":      {on: peer, setUp: func(fx *fixture) { fx.open = dialHanging }, status: 503},
-		"stream lost, query hangs": {on: peer, setUp: func(fx *fixture) {
+		"silent peer":                   {path: peer, setUp: func(fx *fixture) { fx.open = dialSilent }, status: 504},
+		"peer takes no bytes":           {path: peer, setUp: func(fx *fixture) { fx.open = dialBlocked }, status: 504},
+		"peer takes the head only":      {path: peer, setUp: func(fx *fixture) { fx.open = dialBlockedAfterHead }, status: 504},
+		"peer hangs in connecting":      {path: peer, setUp: func(fx *fixture) { fx.open = dialHanging }, status: 503},
+		"stream lost, query hangs": {path: peer, setUp: func(fx *fixture) {
 			fx.open = func(ctx context.Context, to netip.AddrPort, kind string) (net.Conn, error) {
 				if kind == KindQuery {
 					return dialHanging(ctx, to, kind)
@@ -105,7 +106,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			forBothPaths(t, func(t *testing.T, onLocal bool) {
-				if c.on == local && !onLocal || c.on == peer && onLocal {
+				if c.path == local && !onLocal || c.path == peer && onLocal {
 					t.SkipNow()
 				}
 				synctest.Test(t, func(t *testing.T) {
@@ -137,7 +138,7 @@
 					if took := cpuTime() - cpuBefore; took > maxAnswerDelay {
 						t.Errorf("took %s of processor time", took)
 					}
-					time.Sleep(time.Minute) // synctest fails if anything goes on after that
+					time.Sleep(time.Minute) // synctest fails if a goroutine is still running after that
 				})
 			})
 		})
@@ -145,8 +146,8 @@
 }
 
 // Guards against a call that waits for a peer whose host drops its packets
-// although another instance is there, and against an attempt that is charged or
-// forbidden although nothing was sent.
+// although another instance is available, and against an attempt that is charged
+// or not repeated although nothing was sent.
 func TestHangingConnect(t *testing.T) {
 	for name, repeatable := range map[string]bool{"repeatable": true, "not repeatable": false} {
 		t.Run(name, func(t *testing.T) {
@@ -173,9 +174,10 @@
 	}
 }
 
-// Guards the budget: only attempts that may have reached an upstream are
-// charged, and a rejection by the upstream is one. The entry must learn that
-// from the node beside the upstream, with the time until there is capacity.
+// Guards the retry budget: only attempts that may have reached an upstream are
+// charged, including those that the upstream rejected. The entry node learns
+// this from the node beside the upstream, together with the time until capacity
+// is expected.
 func TestAttemptSent(t *testing.T) {
 	const unexecuted = "X-Unexecuted"
 	cases := map[string]struct {
@@ -197,7 +199,7 @@
 			},
 			want: Attempt{Result: sycamorerun.NotRun, Reason: "busy"},
 		},
-		"idle in the queue": { // not canceled by its caller: it may be tried elsewhere
+		"idle in the queue": { // not canceled by its caller, so it may be tried elsewhere
 			setUp: func(fx *fixture) {
 				fx.limiter.Resize(limiter.Limits{Slots: 1, Queue: 2})
 				_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
@@ -232,7 +234,7 @@
 		t.Run(name, func(t *testing.T) {
 			forBothPaths(t, func(t *testing.T, local bool) {
 				if local && name == "draining" {
-					t.SkipNow() // the entry itself refuses
+					t.SkipNow() // the entry node itself refuses
 				}
 				is := is.New(t)
 				if c.handler == nil {
@@ -267,8 +269,8 @@
 	}
 }
 
-// Guards against callers that come back before there is capacity, all at once,
-// or long after.
+// Guards against callers that retry before there is capacity, all at the same
+// time, or much later than necessary.
 func TestRetryAfter(t *testing.T) {
 	cases := map[string]struct {
 		after  time.Duration
@@ -290,13 +292,13 @@
 	}
 	is := is.New(t)
 	first, second := &failure{retryAfter: time.Second}, &failure{retryAfter: 2 * time.Second}
-	is.Equal(mergeFailures(first, second).retryAfter, time.Second) // the first capacity counts
+	is.Equal(mergeFailures(first, second).retryAfter, time.Second) // the shortest delay is kept
 	is.Equal(mergeFailures(first, &failure{}).retryAfter, time.Second)
 	is.Equal(mergeFailures(&failure{}, &failure{retryAfter: time.Minute}).retryAfter, time.Minute)
 }
 
-// Guards against a failure that is told only after the wait for the rest of a
-// body whose caller sends nothing.
+// Guards against a failure that is reported only after waiting for the rest of a
+// body that the caller does not send.
 func TestFailureIsNotDelayed(t *testing.T) {
 	for _, fails := range []string{"upstream", "stream"} {
 		t.Run(fails, func(t *testing.T) {
@@ -338,7 +340,8 @@
 	}
 }
 
-// Guards the order of the queue against attributes that are lost on the way.
+// Guards the order of the queue: the attributes of a call must reach the node
+// beside the upstream.
 func TestSlotRequestAttributes(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		is := is.New(t)
@@ -346,8 +349,8 @@
 		fx.match.Rank, fx.match.Objective, fx.match.Nested = 3, 80*time.Millisecond, true
 		fx.match.Timeout = 10 * time.Second
 		var got SlotRequest
-		fx.upstreamNode.Acquire = func(_ context.Context, _ time.Time, want SlotRequest) (func(), Rejection) {
-			got = want
+		fx.upstreamNode.Acquire = func(_ context.Context, _ time.Time, request SlotRequest) (func(), Rejection) {
+			got = request
 			return func() {}, Rejection{}
 		}
 		before := time.Now()
@@ -356,7 +359,7 @@
 		left := got.Deadline.Sub(got.Arrived)
 		maxLeft := fx.match.Timeout
 		if !local {
-			maxLeft -= maxReplyMargin - 2*time.Millisecond // both times travel in whole milliseconds
+			maxLeft -= maxReplyMargin - 2*time.Millisecond // both times are sent in whole milliseconds
 		}
 		is.True(left <= maxLeft && left > maxLeft-100*time.Millisecond)
 		got.Arrived, got.Deadline = time.Time{}, time.Time{}
--- a/node/forwarder/failure_test.go
+++ b/node/forwarder/failure_test.go
@@ -20,8 +20,8 @@
 	"sycamorerun/node/limiter"
 )
 
-// cutConn breaks a stream after a number of writes. The write at which it
-// breaks delivers nothing.
+// cutConn is a connection that breaks after a number of writes. The write at
+// which it breaks delivers nothing.
 type cutConn struct {
 	net.Conn
 	writesLeft atomic.Int64
@@ -35,8 +35,8 @@
 	return c.Conn.Write(p)
 }
 
-// cutCalls makes the streams of calls break after a number of frames from the
-// caller's node, or to it.
+// cutCalls makes the streams of calls break after a number of frames sent by the
+// entry node, or received by it.
 func cutCalls(fx *fixture, sent, received int64) {
 	fx.open = func(_ context.Context, _ netip.AddrPort, kind string) (net.Conn, error) {
 		client, server := net.Pipe()
@@ -44,17 +44,17 @@
 			fx.serveStream(kind, server)
 			return client, nil
 		}
-		cutNear, cutFar := &cutConn{Conn: client}, &cutConn{Conn: server}
-		cutNear.writesLeft.Store(sent)
-		cutFar.writesLeft.Store(received)
-		fx.serveStream(kind, cutFar)
-		return cutNear, nil
+		cutClient, cutServer := &cutConn{Conn: client}, &cutConn{Conn: server}
+		cutClient.writesLeft.Store(sent)
+		cutServer.writesLeft.Store(received)
+		fx.serveStream(kind, cutServer)
+		return cutClient, nil
 	}
 }
 
 const unlimited = 1 << 30
 
-// hijack answers with raw bytes and closes the connection.
+// respondAndClose responds with raw bytes and closes the connection.
 func respondAndClose(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -66,7 +66,8 @@
 	}
 }
 
-// reset answers with raw bytes and resets the connection once they were read.
+// respondAndReset responds with raw bytes and resets the connection after they
+// were read.
 func respondAndReset(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -79,7 +80,7 @@
 	}
 }
 
-// marked answers with a header that a contract names.
+// respondWithHeader responds with a status and one header.
 func respondWithHeader(name string, status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(name, "1")
@@ -88,13 +89,14 @@
 	}
 }
 
-// contracted has the node beside the upstream check responses.
+// checkResponses makes the node beside the upstream check responses against a
+// contract.
 func checkResponses(fx *fixture) {
 	fx.upstreamNode.Contract.Identity, fx.upstreamNode.Contract.Unexecuted, fx.upstreamNode.Contract.Signature = "X-Id", "X-Unexecuted", "X-Signature"
 	fx.upstreamNode.Upstream = Transport(netip.MustParseAddrPort(fx.upstreamServer.Listener.Addr().String()), 6, fx.upstreamNode.Contract)
 }
 
-// sized announces the length of its response.
+// respondWithLength responds with a body whose length is announced.
 func respondWithLength(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -113,8 +115,8 @@
 	return listener.Addr().String()
 }
 
-// Each case guards the outcome that a caller is told for one point of failure,
-// and how often the request reached the upstream's handler.
+// Each case guards the outcome that a caller gets for one point of failure, and
+// how often the request reached the upstream's handler.
 func TestOutcomes(t *testing.T) {
 	const both, local, peer = 0, 1, 2
 	cases := map[string]struct {
@@ -373,7 +375,8 @@
 					c.handler = reply("ok")
 				}
 				var fx *fixture
-				// Runs after the bed has ended, so that it sees late executions.
+				// Runs after the cleanup of the fixture, so that it also sees
+				// late executions.
 				t.Cleanup(func() { is.Equal(fx.executed.Load(), c.executed) })
 				fx = newFixture(t, onLocal, c.handler)
 				if c.setUp != nil {
@@ -384,11 +387,11 @@
 				}
 				got := fx.send(c.method, "/x"+c.target, strings.NewReader(c.body), c.header...)
 				if c.want.outcome != "answered" {
-					is.True(got.body != "") // a failure is explained
+					is.True(got.body != "") // a failure has an explanation
 					got.body = ""
 				}
 				if c.want.err != nil {
-					is.True(got.err != nil) // a part must not look like the whole
+					is.True(got.err != nil) // a part of a response must not look complete
 					got.err, got.body = c.want.err, ""
 				}
 				is.Equal(got, c.want)
@@ -398,7 +401,8 @@
 	}
 }
 
-// raw sends bytes to the caller's side and returns the response's head.
+// sendRaw sends a text on a new connection to the entry node and returns the
+// connection with a reader of the response.
 func sendRaw(fx *fixture, text string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", fx.callerServer.Listener.Addr().String())
 	if err != nil {
@@ -408,8 +412,8 @@
 	return conn, bufio.NewReader(conn), err
 }
 
-// Guards against requests that two parsers would delimit differently: net/http
-// refuses them before they reach the forwarder.
+// Guards against request smuggling: net/http must reject requests that two
+// parsers would delimit differently before they reach the forwarder.
 func TestSmuggling(t *testing.T) {
 	cases := map[string]string{
 		"two lengths":            "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -437,8 +441,8 @@
 	}
 }
 
-// Guards against a request with both a length and chunks whose rest runs as a
-// request of its own: net/http obeys the chunks and drops the length.
+// Guards against a request with both a length and chunks whose remaining bytes
+// run as a request of their own: net/http uses the chunks and drops the length.
 func TestSmuggledRequest(t *testing.T) {
 	is := is.New(t)
 	lengths := make(chan string, 2)
@@ -462,7 +466,7 @@
 	forBothPaths(t, func(t *testing.T, local bool) {
 		is := is.New(t)
 		fx := newFixture(t, local, func(w http.ResponseWriter, r *http.Request) {
-			r.Body = http.NoBody // the answer does not wait for the body
+			r.Body = http.NoBody // the response does not wait for the body
 			respondAndClose("HTTP/1.1 418 Teapot\r\nContent-Length: 0\r\n\r\n")(w, r)
 		})
 		conn, reader, err := sendRaw(fx, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 50000\r\n\r\n")
@@ -479,8 +483,8 @@
 	})
 }
 
-// Guards against headers by which a caller or an upstream poses as a node, and
-// against headers of one connection that travel further.
+// Guards against callers and upstreams that forge internal headers, and against
+// hop-by-hop headers that are forwarded.
 func TestHeaders(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		is := is.New(t)
@@ -509,10 +513,10 @@
 		is.NoErr(response.Body.Close())
 		got := <-seen
 		for _, name := range []string{"Sycamorerun-Forged", "X-Hop", "Upgrade", "Te", "Proxy-Authorization"} {
-			is.Equal(got.Get(name), "") // stripped
+			is.Equal(got.Get(name), "") // removed
 		}
 		is.Equal(got.Get("X-Kept"), "1")
-		is.Equal(got.Get(sycamorerun.HeaderAttempt), "2") // a caller's attempt can only lower the retries
+		is.Equal(got.Get(sycamorerun.HeaderAttempt), "2") // an attempt sent by a caller can only reduce the retries
 		is.True(got.Get(sycamorerun.HeaderRequest) != "forged")
 		is.Equal(got.Get(sycamorerun.HeaderRequest), response.Header.Get(sycamorerun.HeaderRequest))
 		left, err := strconv.Atoi(got.Get(sycamorerun.HeaderDeadline))
@@ -522,12 +526,12 @@
 		is.Equal(response.Header.Get("Sycamorerun-Forged"), "")
 		is.Equal(response.Header.Get("X-Secret"), "")
 		is.Equal(response.Header.Get("X-Kept"), "2")
-		is.Equal(response.Header.Get("Sycamorerun-Load"), "1,0,6") // the contract names it
+		is.Equal(response.Header.Get("Sycamorerun-Load"), "1,0,6") // forwarded because the contract names it
 	})
 }
 
 // Guards responses without a body, and values that are not UTF-8, which a
-// protobuf string can't carry.
+// protobuf string can't hold.
 func TestUnusualResponses(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		for method, status := range map[string]int{
@@ -556,8 +560,8 @@
 	})
 }
 
-// Guards against work for a caller that has gone, and against an upload that
-// the upstream takes for complete.
+// Guards against work for a caller that has disconnected, and against an upload
+// that the upstream treats as complete although it is not.
 func TestCallerDisconnects(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		for name, head := range map[string]string{
@@ -610,14 +614,15 @@
 				is.NoErr(err)
 				is.NoErr(response.Body.Close())
 				is.Equal(response.StatusCode, c.status)
-				is.True(response.Close) // the rest of the body is no request
+				is.True(response.Close) // the rest of the body must not be parsed as a request
 				is.Equal(fx.executed.Load(), c.executed)
 			})
 		}
 	})
 }
 
-// deliver sends a recorded head to the node beside the upstream.
+// sendHead sends a recorded head to the node beside the upstream and returns the
+// first frame of the answer.
 func sendHead(t *testing.T, fx *fixture, head *Head) *Frame {
 	is := is.New(t)
 	client, server := net.Pipe()
@@ -630,8 +635,9 @@
 	return frame
 }
 
-// Guards "not run" and "at most once" against an original that arrives after
-// its caller was told that it did not run, and against one that arrives twice.
+// Guards the outcome "not run" and the at-most-once execution: a request that
+// arrives after its caller was told that it did not run must not run, and a
+// request that arrives twice must run once.
 func TestLateAndDuplicateRequests(t *testing.T) {
 	is := is.New(t)
 	fx := newFixture(t, false, reply("ok"))
@@ -662,9 +668,9 @@
 	is.Equal(fx.executed.Load(), int64(1))
 }
 
-// Guards against an upload that the upstream takes for complete although its
-// end mark is missing. It reads the body itself, since the cancellation that
-// follows would hide a false end from an upstream most of the time.
+// Guards against an upload that looks complete although its end frame is
+// missing. The test reads the body itself, since the cancellation that follows
+// would usually hide a false end from an upstream.
 func TestUploadWithoutEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		frame    *Frame
@@ -695,8 +701,8 @@
 	}
 }
 
-// Guards the reuse of a stream: one call's end must not disturb the next, and a
-// stream that was lost while it waited must cost no attempt.
+// Guards the reuse of streams: the end of one call must not disturb the next
+// one, and a pooled stream that was lost must not cost an attempt.
 func TestStreamReuse(t *testing.T) {
 	is := is.New(t)
 	fx := newFixture(t, false, func(w http.ResponseWriter, r *http.Request) {
@@ -722,28 +728,29 @@
 		fx.limiter.Resize(limits)
 		is.Equal(fx.send(http.MethodGet, "/after", nil).body, "/after")
 		is.Equal(len(opened), round+1)
-		is.NoErr(opened[round].Close()) // lost while it waits
+		is.NoErr(opened[round].Close()) // lost while idle
 	}
 	is.Equal(fx.send(http.MethodGet, "/last", nil).body, "/last")
 	is.Equal(fx.executed.Load(), int64(10))
-	fx.upstreamNode.idlePeerStreams.Add(maxIdlePeerStreams) // no room for another stream that waits
+	fx.upstreamNode.idlePeerStreams.Add(maxIdlePeerStreams) // no room for another idle stream
 	is.Equal(fx.send(http.MethodGet, "/kept", nil).body, "/kept")
 	is.Equal(len(fx.entry.pool.streams[upstreamNodeAddress]), 0)
 	fx.upstreamNode.idlePeerStreams.Add(-maxIdlePeerStreams)
 }
 
-// Guards against a call on a stream that still carries a part of another one.
+// Guards against reuse of a stream on which a part of another call is still
+// being sent.
 func TestOnlyCleanStreamsAreKept(t *testing.T) {
 	cases := map[string]struct {
-		ended, keep, sending, sent, canceled bool
-		want                                 bool
+		complete, reusable, uploading, uploaded, canceled bool
+		want                                              bool
 	}{
-		"whole":                    {ended: true, keep: true, want: true},
-		"whole with upload":        {ended: true, keep: true, sending: true, sent: true, want: true},
-		"upload not finished":      {ended: true, keep: true, sending: true},
-		"response not ended":       {keep: true},
-		"peer keeps no more":       {ended: true},
-		"canceled at the very end": {ended: true, keep: true, canceled: true},
+		"whole":                    {complete: true, reusable: true, want: true},
+		"whole with upload":        {complete: true, reusable: true, uploading: true, uploaded: true, want: true},
+		"upload not finished":      {complete: true, reusable: true, uploading: true},
+		"response not ended":       {reusable: true},
+		"peer keeps no more":       {complete: true},
+		"canceled at the very end": {complete: true, reusable: true, canceled: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -752,19 +759,19 @@
 			defer func() { _ = server.Close() }()
 			kept := false
 			body := &peerBody{
-				frames: &frameStream{conn: client}, complete: c.ended, reusable: c.keep, uploading: c.sending,
+				frames: &frameStream{conn: client}, complete: c.complete, reusable: c.reusable, uploading: c.uploading,
 				stopCancel: func() bool { return !c.canceled }, returnToPool: func() { kept = true },
 			}
-			body.uploaded.Store(c.sent)
+			body.uploaded.Store(c.uploaded)
 			body.Close()
 			is.Equal(kept, c.want)
-			is.Equal(client.SetDeadline(time.Time{}) == nil, kept) // otherwise closed
+			is.Equal(client.SetDeadline(time.Time{}) == nil, kept) // closed unless returned to the pool
 		})
 	}
 }
 
-// Guards a booking against a second run under its key, and a recorded response
-// against a different request.
+// Guards against a second execution under an idempotency key, and against a
+// recorded response that is returned for a different request.
 func TestIdempotencyKeys(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		is := is.New(t)
@@ -781,8 +788,8 @@
 	})
 }
 
-// Guards against a "not run" for each call whose key is just changing hands,
-// and against waiting for an owner that never comes.
+// Guards against calls that fail as "not run" while the ownership of their key
+// is being transferred, and against waiting forever for an owner.
 func TestKeyOwnershipTransfer(t *testing.T) {
 	cases := map[string]struct {
 		refusals int
@@ -818,8 +825,8 @@
 	}
 }
 
-// Guards against a repetition outside of the retry budget when a kept connection
-// breaks, as http.Transport makes it for requests that it takes for idempotent.
+// Guards against repetitions outside of the retry budget when a kept connection
+// breaks. http.Transport makes them for requests that it considers idempotent.
 func TestTransportDoesNotRepeat(t *testing.T) {
 	cases := map[string]struct {
 		method     string
@@ -845,12 +852,13 @@
 			fx.match.Repeatable = c.repeatable
 			is.Equal(fx.send(http.MethodGet, "/warm", nil).status, http.StatusOK)
 			is.Equal(fx.send(c.method, "/x", nil, c.header...).reason, "upstream-broken")
-			is.Equal(fx.executed.Load(), int64(2)) // one of them is /warm
+			is.Equal(fx.executed.Load(), int64(2)) // including the request to /warm
 		})
 	}
 }
 
-// Guards against retries that raise the retry budgets of the services below.
+// Guards against retries that increase the retry budgets of services further
+// down the call chain.
 func TestRetriesAddNoBudget(t *testing.T) {
 	cases := map[string]struct {
 		header  []string
@@ -872,15 +880,15 @@
 	}
 }
 
-// Guards against calls that all go to one upstream, or that are refused as
-// repeated, where keys have no meaning.
+// Guards against calls that all go to one upstream or are refused as repeated
+// although the contract has no header for keys.
 func TestContractWithoutKeys(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		is := is.New(t)
 		fx := newFixture(t, local, reply("ok"))
 		fx.entry.Contract.Key = ""
 		fx.entry.Owner = func(string, string) (sycamorerun.Instance, bool) {
-			t.Error("owner of a key asked")
+			t.Error("Owner called although the contract has no header for keys")
 			return sycamorerun.Instance{}, false
 		}
 		for _, body := range []string{"one", "two"} {
@@ -891,7 +899,7 @@
 	})
 }
 
-// Guards the promise that a planned stop interrupts no call.
+// Guards against a planned stop that interrupts calls in flight.
 func TestDrain(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		is := is.New(t)
@@ -926,8 +934,9 @@
 	})
 }
 
-// Guards against a connection that is closed under a request on its way: after
-// the grace, callers are still served, on connections that then close.
+// Guards against a connection that is closed while a request on it is in
+// transit: after Grace, callers must still be served, on connections that are
+// then closed.
 func TestLinger(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		is := is.New(t)
@@ -948,13 +957,13 @@
 		if local {
 			is.True(!fx.entry.drain.beginPeer())
 		}
-		is.NoErr(<-drained) // when callers are quiet, long before Linger ends
+		is.NoErr(<-drained) // as soon as callers are quiet, long before Linger ends
 		is.Equal(fx.send(http.MethodGet, "/x", nil).reason, "draining")
 	})
 }
 
-// Guards the decoder of streams from peers: any bytes end the call and run
-// nothing twice, without a panic or a hang.
+// Guards the decoder of streams from peers: arbitrary bytes must end the call
+// without a panic or a hang, and must not execute a call twice.
 func FuzzServeCall(f *testing.F) {
 	var seed strings.Builder
 	for _, frame := range []*Frame{
@@ -1000,8 +1009,8 @@
 
 func (s *shrinker) Shrink() { s.shrunk++ }
 
-// Guards the memory of waiting streams, and against a receive buffer that
-// each small call allocates again.
+// Guards against idle streams that keep large receive buffers, and against small
+// calls that each allocate a new one.
 func TestShrinkAfterLargeCalls(t *testing.T) {
 	for name, test := range map[string]struct{ size, want int }{
 		"small": {maxIdleBufferBytes / 2, 0},
--- a/node/forwarder/fixture_test.go
+++ b/node/forwarder/fixture_test.go
@@ -24,9 +24,9 @@
 
 var upstreamNodeAddress = netip.MustParseAddrPort("127.0.0.1:9")
 
-// bed is a node that takes callers' requests, a node beside an upstream, and
-// the upstream, wired as the runner does. With local set the first node is the
-// one beside the upstream.
+// fixture holds a node that takes callers' requests (entry), the node beside the
+// upstream (upstreamNode) and the upstream, wired as the runner wires them. If
+// the fixture is local, both nodes are the same.
 type fixture struct {
 	entry, upstreamNode *Forwarder
 	match               Match
@@ -37,7 +37,7 @@
 	maxRetries          int
 	executed            atomic.Int64
 	observed            chan Observation
-	// open replaces the stream to the peer.
+	// open opens the streams between the nodes.
 	open           func(ctx context.Context, to netip.AddrPort, kind string) (net.Conn, error)
 	streams        sync.WaitGroup
 	callerServer   *httptest.Server
@@ -49,7 +49,8 @@
 	return newFixtureWith(t, local, handler, func(*httptest.Server) {})
 }
 
-// newBedOver is newBed with servers that listen as set up by over.
+// newFixtureWith is newFixture with a function that configures both servers
+// before they start.
 func newFixtureWith(t testing.TB, local bool, handler http.HandlerFunc, configure func(*httptest.Server)) *fixture {
 	t.Helper()
 	fx := &fixture{
@@ -117,9 +118,9 @@
 		notRunOrRepeatable := attempt.Result == sycamorerun.NotRun || attempt.Repeatable
 		return 0, notRunOrRepeatable && !attempt.Consumed && attempt.Number <= fx.maxRetries
 	}
-	f.HasOtherInstance = func(_ string, than []string) bool { return len(than) < len(fx.instances) }
-	f.Acquire = func(ctx context.Context, now time.Time, want SlotRequest) (func(), Rejection) {
-		release, refusal := fx.limiter.Acquire(ctx, now, limiter.Want(want))
+	f.HasOtherInstance = func(_ string, excluded []string) bool { return len(excluded) < len(fx.instances) }
+	f.Acquire = func(ctx context.Context, now time.Time, request SlotRequest) (func(), Rejection) {
+		release, refusal := fx.limiter.Acquire(ctx, now, limiter.Want(request))
 		return release, Rejection(refusal)
 	}
 	f.Load = func(Match) *Load { return &Load{Running: uint32(fx.limiter.Load().Running), Slots: 6} }
@@ -144,8 +145,8 @@
 	return f
 }
 
-// memoryListener accepts connections within the process, on which synctest can
-// tell that a goroutine waits.
+// memoryListener accepts connections within the process, since synctest can tell
+// that a goroutine is blocked on them.
 type memoryListener struct {
 	address net.Addr
 	conns   chan net.Conn
@@ -153,7 +154,7 @@
 	once    sync.Once
 }
 
-// inMemory makes a server listen within the process.
+// useMemoryListener makes a server listen within the process.
 func useMemoryListener(server *httptest.Server) {
 	address := server.Listener.Addr()
 	_ = server.Listener.Close()
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// dial opens a stream to the node beside the upstream.
+// dialUpstreamNode opens a stream to the node beside the upstream.
 func (fx *fixture) dialUpstreamNode(_ context.Context, _ netip.AddrPort, kind string) (net.Conn, error) {
 	client, server := net.Pipe()
 	fx.serveStream(kind, server)
@@ -207,7 +208,7 @@
 	}()
 }
 
-// result is what a caller sees.
+// callResult is what a caller sees.
 type callResult struct {
 	status          int
 	outcome, reason string
@@ -227,9 +228,9 @@
 	return fx.do(r)
 }
 
-// reached waits until the upstream has counted the executions. When a stream is
-// cut while a request is on its way, the caller may have its outcome before the
-// upstream's server has started the handler.
+// waitExecuted waits until the upstream has counted the executions. When a
+// stream is cut while a request is in transit, the caller may get its outcome
+// before the upstream's server has started the handler.
 func (fx *fixture) waitExecuted(t *testing.T, executions int64) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); fx.executed.Load() < executions && time.Now().Before(deadline); {
@@ -260,7 +261,7 @@
 
 var errRefusedDial = errors.New("connection refused")
 
-// paths runs a test over the local path and over the path through a peer.
+// forBothPaths runs a test on the local path and on the path through a peer.
 func forBothPaths(t *testing.T, run func(t *testing.T, local bool)) {
 	for name, local := range map[string]bool{"local": true, "peer": false} {
 		t.Run(name, func(t *testing.T) { run(t, local) })
--- a/node/forwarder/forwarder_test.go
+++ b/node/forwarder/forwarder_test.go
@@ -14,7 +14,7 @@
 
 var discardLog = stdlog.New(io.Discard, "", 0)
 
-// Guards against bodies that arrive changed, cut or without their trailers.
+// Guards against bodies that are changed, truncated or lose their trailers.
 func TestBodies(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		echo := func(w http.ResponseWriter, r *http.Request) {
--- a/node/forwarder/limits_test.go
+++ b/node/forwarder/limits_test.go
@@ -14,8 +14,8 @@
 	"sycamorerun/node/limiter"
 )
 
-// exchange sends a text on a new connection and returns the whole response and a
-// function that waits for the end of the connection.
+// sendAndRead sends a text on a new connection. It returns the response, whose
+// body has been read, and a function that waits for the end of the connection.
 func sendAndRead(t *testing.T, fx *fixture, text string, send func(io.Writer)) (*http.Response, func()) {
 	t.Helper()
 	is := is.New(t)
@@ -33,9 +33,10 @@
 
 func sendNothing(io.Writer) {}
 
-// Guards against a body without a length that is beyond the limit and runs all
-// the same, or whose caller is told that it may try again, and against a caller
-// that sends nothing and holds a slot for the idle time of the service.
+// Guards against a body without a length that exceeds the limit and is executed
+// as complete, or whose caller is told that it may retry. Also guards against a
+// caller that sends nothing and holds a slot for the idle timeout of the
+// service.
 func TestBodyLimits(t *testing.T) {
 	const limit, end, sized, chunked = 100 << 10, "0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked\r\n\r\n"
 	chunk := func(bytes int) string { return fmt.Sprintf("%x\r\n%s\r\n", bytes, strings.Repeat("x", bytes)) }
@@ -70,7 +71,7 @@
 				fx.entry.SetLimits(sycamorerun.Limits{Body: limit})
 				response, _ := sendAndRead(t, fx, "POST /x HTTP/1.1\r\nHost: h\r\n"+c.rest, sendNothing)
 				is.Equal(response.StatusCode, c.status)
-				is.Equal(response.Close, c.status != 200) // the rest is no request
+				is.Equal(response.Close, c.status != 200) // the rest must not be parsed as a request
 				is.Equal(response.Header.Get(sycamorerun.HeaderReason) == reasonBodyTooLarge, c.status == 413)
 				is.True(c.executed == 0 || <-complete == (c.status == 200))
 				is.Equal(fx.executed.Load(), c.executed)
@@ -79,9 +80,9 @@
 	})
 }
 
-// Guards against a body that is cut because the call waits for a slot, or the
-// upstream reads late, and not its caller.
-func TestBodyWaitCountsReads(t *testing.T) {
+// Guards against BodyTimeout ending a call while its caller is not at fault,
+// because the call waits for a slot or the upstream reads late.
+func TestBodyTimeoutCountsReads(t *testing.T) {
 	forBothPaths(t, func(t *testing.T, local bool) {
 		fx := newFixture(t, local, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(500 * time.Millisecond)
@@ -98,7 +99,8 @@
 }
 
 // Guards against a refused request whose caller sends its body slowly or not at
-// all and so keeps its connection, or loses the response because it still sends.
+// all and so keeps its connection open, or whose caller loses the response
+// because it is still sending.
 func TestRefusedBody(t *testing.T) {
 	const sized = "Host: h\r\nContent-Length: 5000\r\n"
 	cases := map[string]struct {
--- a/node/forwarder/refusals_test.go
+++ b/node/forwarder/refusals_test.go
@@ -7,9 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a call that comes back after a refusal and counts as a new one,
-// and against another call for the same target that counts as one that comes
-// back.
+// Guards against a call that is repeated after a refusal but counts as new, and
+// against another call for the same target that counts as a repetition.
 func TestRefusalCache(t *testing.T) {
 	start := time.Unix(1000, 0)
 	first := call{method: "GET", host: "a.example", target: "/x", arrived: start, callerDeadline: start.Add(2 * time.Second)}
@@ -44,7 +43,7 @@
 			if ok {
 				is.Equal(arrived, start)
 				_, ok = r.takeArrival(now, &next)
-				is.True(!ok) // each refusal counts for one call
+				is.True(!ok) // each refusal counts for one repetition
 			}
 		})
 	}
--- a/node/forwarder/reply_test.go
+++ b/node/forwarder/reply_test.go
@@ -11,8 +11,9 @@
 )
 
 // Guards against a response that arrives at the end of its call and leaves a
-// write deadline on the caller's connection, which cuts off the next response.
-func TestLateResponseLeavesConnection(t *testing.T) {
+// write deadline on the caller's connection, which would cut off the next
+// response.
+func TestLateResponseKeepsConnectionUsable(t *testing.T) {
 	cases := map[string]string{"empty": "", "small": "late", "larger than the buffer": string(make([]byte, 16<<10))}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -27,7 +28,7 @@
 			}))
 			defer server.Close()
 			for range 50 {
-				response, err := server.Client().Post(server.URL, "", nil) // is not repeated by the client
+				response, err := server.Client().Post(server.URL, "", nil) // not repeated by the client
 				is.NoErr(err)
 				data, err := io.ReadAll(response.Body)
 				is.NoErr(err)
--- a/node/forwarder/silent_test.go
+++ b/node/forwarder/silent_test.go
@@ -18,12 +18,12 @@
 	"sycamorerun/node/connector"
 )
 
-// silentTime is the time in which a call that waits on a silent session gets its
-// result, or goes on.
+// maxSilentSessionDelay bounds how long a call on a silent session takes to get
+// its result or to be sent elsewhere.
 const maxSilentSessionDelay = 2 * time.Second
 
-// dropper forwards connections to an address. Those that were open when drop was
-// called stay open and lose everything.
+// dropper forwards connections to an address. Connections that were open when
+// drop was called stay open but lose all data.
 type dropper struct {
 	net.Listener
 	target         atomic.Pointer[netip.AddrPort]
@@ -70,7 +70,8 @@
 
 func (d *dropper) drop() { d.dropped.Store(d.conns.Load()) }
 
-// connect runs a connector for each node of the bed, with a dropper between them.
+// connectNodes runs a connector for each node of the fixture, with a dropper
+// between them.
 func (fx *fixture) connectNodes(t *testing.T) *dropper {
 	is := is.New(t)
 	run := func(name string, announced netip.AddrPort, handlers map[string]connector.Handler) (*connector.Connector, netip.AddrPort) {
@@ -108,13 +109,14 @@
 	return d
 }
 
-// Guards against a call that waits for seconds on a session to a peer that went
-// silent while new sessions work, and against a repetition of one that may have
-// run.
+// Guards against a call that waits for seconds on a session to a peer that
+// became silent although new sessions work, and against the repetition of a call
+// that may have run.
 func TestCallOnSilentSession(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		// early says that the session is silent before the call is sent.
+		// droppedBeforeCall says that the session becomes silent before the call
+		// is sent.
 		droppedBeforeCall, repeatable bool
 		reason                        string
 		executed                      int64
@@ -150,7 +152,7 @@
 			got := fx.send(http.MethodPost, "/x", strings.NewReader("a"))
 			took := time.Since(start)
 			delay := stopMeasuring()
-			t.Logf("%d %s %q after %s, of which the machine took %s", got.status, got.reason, got.body, took, delay)
+			t.Logf("%d %s %q after %s, including scheduling delays of %s", got.status, got.reason, got.body, took, delay)
 			is.Equal(got.reason, c.reason)
 			is.Equal(got.body == "ok", c.reason == "")
 			is.Equal(fx.executed.Load(), 1+c.executed)
@@ -159,8 +161,9 @@
 	}
 }
 
-// delays returns a function that returns for how long a goroutine that sleeps in
-// short steps was delayed by a busy machine until then.
+// measureDelays returns a function that stops the measurement and returns the
+// total delay of a goroutine that sleeps in short steps. The delay shows how
+// busy the machine was.
 func measureDelays(t *testing.T) func() time.Duration {
 	const step = 50 * time.Millisecond
 	ctx, stop := context.WithCancel(t.Context())
@@ -180,7 +183,7 @@
 	}
 }
 
-// closing is a stream whose peer can close it just before a write.
+// closableConn is a stream whose peer can close it just before a write.
 type closableConn struct {
 	net.Conn
 	closed *atomic.Bool
@@ -193,26 +196,27 @@
 	return c.Conn.Write(p)
 }
 
-// Guards against a call that is told unknown, or is not sent again, although
-// its stream was closed before anything was sent, as when the node beside the
-// upstream ends. Nobody can be asked then.
+// Guards against a call that is reported as unknown or is not sent again
+// although its stream was closed before anything was sent, as happens when the
+// node beside the upstream stops. That node can't be queried then.
 func TestClosedBeforeSending(t *testing.T) {
 	cases := map[string]struct {
-		// streams is the number of streams that close, picks that of instances.
-		streams, picks   int
-		body, reason     string
-		executed, status int
+		// streams is the number of streams that close, instances the number
+		// of instances to pick from.
+		streams, instances int
+		body, reason       string
+		executed, status   int
 	}{
-		"kept stream":                    {streams: 1, picks: 1, body: "ok", executed: 2, status: 200},
-		"kept and new stream":            {streams: 2, picks: 1, reason: reasonPeerUnreachable, executed: 1, status: 503},
-		"kept and new stream, elsewhere": {streams: 2, picks: 2, body: "ok", executed: 2, status: 200},
+		"kept stream":                    {streams: 1, instances: 1, body: "ok", executed: 2, status: 200},
+		"kept and new stream":            {streams: 2, instances: 1, reason: reasonPeerUnreachable, executed: 1, status: 503},
+		"kept and new stream, elsewhere": {streams: 2, instances: 2, body: "ok", executed: 2, status: 200},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			fx := newFixture(t, false, reply("ok"))
 			fx.maxRetries = 1
-			for len(fx.instances) < c.picks {
+			for len(fx.instances) < c.instances {
 				fx.instances = append(fx.instances, sycamorerun.Instance{Name: "other", Address: upstreamNodeAddress, Service: "s"})
 			}
 			var opened int
--- a/node/forwarder/upload_test.go
+++ b/node/forwarder/upload_test.go
@@ -12,13 +12,14 @@
 	"sycamorerun/node/requester"
 )
 
-// roundTrip is an http.RoundTripper.
+// roundTrip is a function that implements http.RoundTripper.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (r roundTrip) RoundTrip(request *http.Request) (*http.Response, error) { return r(request) }
 
-// Guards against a sender that outlives its attempt and takes bytes of the body
-// from the next attempt, whose upstream would get others in their place.
+// Guards against a sender that outlives its attempt and consumes bytes of the
+// body that belong to the next attempt, whose upstream would receive a corrupted
+// body.
 func TestSenderOutlivesAttempt(t *testing.T) {
 	is := is.New(t)
 	fx := newFixture(t, true, reply("unused"))
