--- a/node/forwarder/call.go
+++ b/node/forwarder/call.go
@@ -14,121 +14,126 @@
 	"github.com/pkg/errors"
 )
 
-// call is a request on its way to an upstream.
+// call is a request that is being forwarded to an upstream.
 type call struct {
-	match    Match
-	id       string
-	level    int
-	method   string
-	host     string
-	target   string
-	header   http.Header
-	trailers []string
-	// trailer holds the values of trailers once the body has ended.
+	match         Match
+	id            string
+	callerAttempt int
+	method        string
+	host          string
+	target        string
+	header        http.Header
+	trailers      []string
+	// trailer holds the values of the trailers once the body has ended.
 	trailer http.Header
 	length  int64
-	// body is the request body if complete, otherwise stream yields it.
-	complete bool
+	// buffered says that body holds the whole request body. Otherwise upload
+	// streams it.
+	buffered bool
 	body     []byte
-	stream   *upload
-	// unread says that a body is left on an HTTP/1 connection of the caller. The
-	// connection must then be closed, since the rest of the body would be read
-	// as the next request.
-	unread bool
-	// limits are those in force when the call began, persistent says that the
-	// caller keeps its connection. Both are for calls of callers.
+	upload   *upload
+	// bodyUnread says that an unread body remains on the caller's HTTP/1
+	// connection. The connection must then be closed, because the remaining
+	// bytes would be parsed as the next request.
+	bodyUnread bool
+	// limits are the limits in force when the call started. persistent says that
+	// the caller keeps its connection open. Both are set only for calls received
+	// from callers, not from peers.
 	limits     *limits
 	persistent bool
 
-	key      string
-	print    uint64
-	deadline time.Time
-	// began is when the call entered at this node, arrived when it entered the
-	// fleet.
-	began   time.Time
-	arrived time.Time
-	// until is when the caller has said that it gives up; zero means not said.
-	until time.Time
-	// reply is the time that is left to tell a peer that the call got no slot.
-	reply time.Duration
+	key         string
+	fingerprint uint64
+	deadline    time.Time
+	// startedAt is when the call reached this node, arrived when it reached the
+	// first node.
+	startedAt time.Time
+	arrived   time.Time
+	// callerDeadline is the deadline that the caller sent; zero means none.
+	callerDeadline time.Time
+	// replyMargin is the time reserved before the deadline for telling the peer
+	// that the call got no slot.
+	replyMargin time.Duration
 }
 
-// want describes the call for the queue.
-func (c *call) want() Want {
-	want := Want{Rank: c.match.Rank, Objective: c.match.Objective, Arrived: c.arrived, Nested: c.match.Nested}
+// slotRequest returns the request for a slot of the upstream.
+func (c *call) slotRequest() SlotRequest {
+	request := SlotRequest{Rank: c.match.Rank, Objective: c.match.Objective, Arrived: c.arrived, Nested: c.match.Nested}
 	if !c.deadline.IsZero() {
-		want.Deadline = c.deadline.Add(-c.reply)
+		request.Deadline = c.deadline.Add(-c.replyMargin)
 	}
-	return want
+	return request
 }
 
-// claim names the attempt with the given id for the deduplicator.
+// claim returns the claim of the attempt with the given id for the deduplicator.
 func (c *call) claim(id string) Claim {
-	return Claim{ID: id, Key: c.key, Print: c.print}
+	return Claim{ID: id, Key: c.key, Fingerprint: c.fingerprint}
 }
 
-// identity returns the id of the n-th attempt of the call. Attempts have ids
-// of their own, since the refusal of one must not refuse the next.
-func (c *call) identity(n int) string {
+// attemptID returns the id of the n-th attempt. Each attempt has its own id,
+// since refusing one attempt must not refuse the next.
+func (c *call) attemptID(n int) string {
 	return c.id + "/" + strconv.Itoa(n)
 }
 
-// describe returns a call that begins at now, without what depends on the route.
-func (f *Forwarder) describe(now time.Time, r *http.Request) *call {
+// newCall returns a call that starts at now, without the fields that depend on
+// the route.
+func (f *Forwarder) newCall(now time.Time, r *http.Request) *call {
 	return &call{
-		id: uuid.NewString(), began: now, arrived: now, level: 1, limits: f.limits.Load(), persistent: persistent(r),
-		unread: r.ProtoMajor == 1 && r.ContentLength != 0, method: r.Method, host: r.Host, length: r.ContentLength,
+		id: uuid.NewString(), startedAt: now, arrived: now, callerAttempt: 1, limits: f.limits.Load(), persistent: persistent(r),
+		bodyUnread: r.ProtoMajor == 1 && r.ContentLength != 0, method: r.Method, host: r.Host, length: r.ContentLength,
 	}
 }
 
-// parse checks a caller's request and describes it as a call, without its body.
-func (f *Forwarder) parse(now time.Time, r *http.Request) (*call, *failure) {
-	c := f.describe(now, r)
+// parseRequest validates a caller's request and returns it as a call without its
+// body.
+func (f *Forwarder) parseRequest(now time.Time, r *http.Request) (*call, *failure) {
+	c := f.newCall(now, r)
 	if r.Method == http.MethodConnect || r.URL.Path == "" {
-		return c, notRun(reasonRequest)
+		return c, notRun(reasonBadRequest)
 	}
-	if dotted(r.URL.Path) {
-		return c, notRun(reasonPath)
+	if hasDotSegment(r.URL.Path) {
+		return c, notRun(reasonBadPath)
 	}
-	if failed := c.limits.admits(r); failed != nil {
+	if failed := c.limits.check(r); failed != nil {
 		return c, failed
 	}
 	match, ok := f.Match(r)
 	if !ok {
-		return c, notRun(reasonRoute)
+		return c, notRun(reasonNoRoute)
 	}
 	c.match = match
-	waits, err := stated(r.Header.Get(f.Contract.Deadline))
+	callerTimeout, err := parseDeadline(r.Header.Get(f.Contract.Deadline))
 	if err != nil {
-		return c, notRun(reasonDeadline)
+		return c, notRun(reasonBadDeadline)
 	}
-	if waits > 0 {
-		c.until = now.Add(waits)
-		c.deadline = c.until
+	if callerTimeout > 0 {
+		c.callerDeadline = now.Add(callerTimeout)
+		c.deadline = c.callerDeadline
 	}
-	if match.Timeout > 0 && (waits == 0 || match.Timeout < waits) {
+	if match.Timeout > 0 && (callerTimeout == 0 || match.Timeout < callerTimeout) {
 		c.deadline = now.Add(match.Timeout)
 	}
-	if level, err := strconv.Atoi(r.Header.Get(f.Contract.Attempt)); err == nil && level > 1 {
-		c.level = level
+	if attempt, err := strconv.Atoi(r.Header.Get(f.Contract.Attempt)); err == nil && attempt > 1 {
+		c.callerAttempt = attempt
 	}
 	c.target = r.URL.RequestURI()
-	if arrived, ok := f.returns.first(now, c); ok {
+	if arrived, ok := f.refusals.takeArrival(now, c); ok {
 		c.arrived = arrived
 	}
-	c.header = f.clean(r.Header)
-	set(c.header, f.Contract.Origin, f.Service)
-	c.trailers = announced(r.Trailer)
-	c.trailer = blank(c.trailers)
+	c.header = f.endToEndHeader(r.Header)
+	setHeader(c.header, f.Contract.Origin, f.Service)
+	c.trailers = trailerNames(r.Trailer)
+	c.trailer = emptyTrailer(c.trailers)
 	if key := c.header.Get(f.Contract.Key); key != "" {
 		c.key = match.Service + "/" + key
 	}
 	return c, nil
 }
 
-// dotted reports whether path has a segment that an upstream may resolve to a
-// path outside the prefix that the router matched.
-func dotted(path string) bool {
+// hasDotSegment reports whether path has a "." or ".." segment, which an
+// upstream may resolve to a path outside the prefix that the router matched.
+func hasDotSegment(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		if segment == "." || segment == ".." {
 			return true
@@ -137,9 +142,9 @@
 	return false
 }
 
-// stated returns how long the caller has said that it waits; zero means that it
-// has not said.
-func stated(text string) (time.Duration, error) {
+// parseDeadline parses the deadline header of a caller; zero means that the
+// caller sent none.
+func parseDeadline(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -147,13 +152,14 @@
 	if err != nil || ms == 0 {
 		return 0, errors.Errorf("deadline %q is not a positive number of milliseconds", text)
 	}
-	// A week is beyond every timeout and keeps the product in range.
+	// A week exceeds every timeout and avoids an overflow of the duration.
 	return time.Duration(min(ms, 7*24*3600*1000)) * time.Millisecond, nil
 }
 
-// fingerprint identifies what a key stands for, including who asks, so that a
-// recorded response is not given to a different request.
-func (c *call) fingerprint() uint64 {
+// computeFingerprint hashes the request, including the caller's credentials, so
+// that a response recorded for an idempotency key is not returned for a
+// different request.
+func (c *call) computeFingerprint() uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{c.method, c.host, c.target} {
 		writePart(digest, part)
@@ -173,8 +179,8 @@
 	_, _ = io.WriteString(digest, strconv.Itoa(len(part))+":"+part)
 }
 
-// fill sets the values of the announced trailers.
-func (c *call) fill(trailer http.Header) {
+// setTrailers sets the values of the announced trailers.
+func (c *call) setTrailers(trailer http.Header) {
 	for name := range c.trailer {
 		if values, ok := trailer[name]; ok {
 			c.trailer[name] = values
@@ -182,30 +188,30 @@
 	}
 }
 
-// request builds the request for the upstream.
-func (f *Forwarder) request(now time.Time, c *call, n uint32, body io.ReadCloser) (*http.Request, error) {
+// newUpstreamRequest returns the request for the upstream.
+func (f *Forwarder) newUpstreamRequest(now time.Time, c *call, attemptNumber uint32, body io.ReadCloser) (*http.Request, error) {
 	address, err := url.ParseRequestURI(c.target)
 	if err != nil {
-		return nil, errors.Wrap(err, "target")
+		return nil, errors.Wrap(err, "parse request target")
 	}
 	address.Scheme, address.Host = "http", "upstream"
 	header := c.header.Clone()
-	set(header, f.Contract.Request, c.id)
-	set(header, f.Contract.Attempt, strconv.Itoa(int(n)))
-	set(header, f.Contract.Target, f.Target())
+	setHeader(header, f.Contract.Request, c.id)
+	setHeader(header, f.Contract.Attempt, strconv.Itoa(int(attemptNumber)))
+	setHeader(header, f.Contract.Target, f.Target())
 	if !c.deadline.IsZero() {
-		set(header, f.Contract.Deadline, strconv.FormatInt(max(1, c.deadline.Sub(now).Milliseconds()), 10))
+		setHeader(header, f.Contract.Deadline, strconv.FormatInt(max(1, c.deadline.Sub(now).Milliseconds()), 10))
 	}
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = []string{""} // keeps net/http from adding its own
+		header["User-Agent"] = []string{""} // keeps net/http from adding its default
 	}
 	request := &http.Request{
 		Method: c.method, URL: address, Host: c.host, Header: header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Body: body, ContentLength: c.length, Trailer: c.trailer,
 	}
-	if c.complete {
-		request.GetBody = func() (io.ReadCloser, error) { return c.reader(), nil }
+	if c.buffered {
+		request.GetBody = func() (io.ReadCloser, error) { return c.bodyReader(), nil }
 	}
 	return request, nil
 }
--- a/node/forwarder/header.go
+++ b/node/forwarder/header.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only. Expect is among
-// them because net/http answers it on the caller's connection.
+// hopByHop lists the headers that apply to a single connection. Expect is
+// included because net/http answers it on the caller's connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -16,18 +16,19 @@
 
 const internalPrefix = "Sycamorerun-"
 
-// clean returns a copy of header without hop-by-hop headers, the headers that
-// Connection names, and the project's own headers.
-func (f *Forwarder) clean(header http.Header) http.Header {
-	named := header["Connection"]
+// endToEndHeader returns a copy of header without hop-by-hop headers, the
+// headers that Connection lists, and the headers with the internal prefix that
+// the contract does not forward.
+func (f *Forwarder) endToEndHeader(header http.Header) http.Header {
+	connection := header["Connection"]
 	kept := make(http.Header, len(header)+4)
 	for name, values := range header {
-		if internal(name) && !f.Contract.passed(name) || slices.Contains(hopByHop, name) {
+		if isInternalHeader(name) && !f.Contract.forwards(name) || slices.Contains(hopByHop, name) {
 			continue
 		}
 		kept[name] = values
 	}
-	for _, line := range named {
+	for _, line := range connection {
 		for name := range strings.SplitSeq(line, ",") {
 			delete(kept, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)))
 		}
@@ -35,12 +36,12 @@
 	return kept
 }
 
-func internal(name string) bool {
+func isInternalHeader(name string) bool {
 	return len(name) >= len(internalPrefix) && strings.EqualFold(name[:len(internalPrefix)], internalPrefix)
 }
 
-// size returns the bytes of header on the wire.
-func size(header http.Header) int {
+// headerSize returns the size of header on the wire in bytes.
+func headerSize(header http.Header) int {
 	total := 0
 	for name, values := range header {
 		for _, value := range values {
@@ -50,11 +51,11 @@
 	return total
 }
 
-// announced returns the names of the trailers that may be passed on.
-func announced(trailer http.Header) []string {
+// trailerNames returns the sorted names of the trailers that may be forwarded.
+func trailerNames(trailer http.Header) []string {
 	var names []string
 	for name := range trailer {
-		if !internal(name) && !slices.Contains(hopByHop, name) {
+		if !isInternalHeader(name) && !slices.Contains(hopByHop, name) {
 			names = append(names, name)
 		}
 	}
@@ -80,9 +81,9 @@
 	return header
 }
 
-// blank returns a header with the names and no values, the form in which
-// net/http takes trailers whose values follow the body.
-func blank(names []string) http.Header {
+// emptyTrailer returns a header with names but no values. In this form net/http
+// accepts trailers whose values follow the body.
+func emptyTrailer(names []string) http.Header {
 	if len(names) == 0 {
 		return nil
 	}
--- /dev/null
+++ b/node/forwarder/refusals.go
@@ -0,0 +1,78 @@
+package forwarder
+
+import (
+	"hash/maphash"
+	"sync"
+	"time"
+)
+
+const (
+	// maxRefusedCalls bounds the refused calls that are remembered.
+	maxRefusedCalls = 4096
+	// deadlineTolerance is how much later than the deadline of the refused call
+	// that of its repetition may be, since callers round their timeouts and
+	// their clocks differ from this node's.
+	deadlineTolerance = 100 * time.Millisecond
+)
+
+// refusalCache remembers refused calls by method, host and target. Callers
+// repeat a refused call at the same node, under a new id. The age of a repeated
+// call counts from its first arrival, as does its caller's latency objective.
+type refusalCache struct {
+	seed  maphash.Seed
+	mutex sync.Mutex
+	calls map[uint64]refusedCall
+}
+
+// refusedCall is a call that was refused. Its caller gives up at callerDeadline.
+type refusedCall struct {
+	arrived        time.Time
+	callerDeadline time.Time
+}
+
+func newRefusalCache() *refusalCache {
+	return &refusalCache{seed: maphash.MakeSeed(), calls: map[uint64]refusedCall{}}
+}
+
+func (r *refusalCache) key(c *call) uint64 {
+	return maphash.Comparable(r.seed, [3]string{c.method, c.host, c.target})
+}
+
+// add remembers c, which is refused at now. Calls without a caller's deadline
+// are not remembered, since their repetitions can't be told from other calls.
+func (r *refusalCache) add(now time.Time, c *call) {
+	if !now.Before(c.callerDeadline) {
+		return
+	}
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if len(r.calls) >= maxRefusedCalls {
+		for key, old := range r.calls {
+			if !now.Before(old.callerDeadline) {
+				delete(r.calls, key)
+			}
+		}
+		if len(r.calls) >= maxRefusedCalls {
+			return
+		}
+	}
+	r.calls[r.key(c)] = refusedCall{arrived: c.arrived, callerDeadline: c.callerDeadline}
+}
+
+// takeArrival returns and forgets the arrival of the refused call that c
+// repeats. The deadline of a repetition is no later than that of the refused
+// call.
+func (r *refusalCache) takeArrival(now time.Time, c *call) (time.Time, bool) {
+	if c.callerDeadline.IsZero() {
+		return time.Time{}, false
+	}
+	key := r.key(c)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	old, ok := r.calls[key]
+	if !ok || !now.Before(old.callerDeadline) || c.callerDeadline.After(old.callerDeadline.Add(deadlineTolerance)) {
+		return time.Time{}, false
+	}
+	delete(r.calls, key)
+	return old.arrived, true
+}
--- a/node/forwarder/upload_test.go
+++ b/node/forwarder/upload_test.go
@@ -12,33 +12,34 @@
 	"sycamorerun/node/requester"
 )
 
-// roundTrip is an http.RoundTripper.
+// roundTrip is a function that implements http.RoundTripper.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (r roundTrip) RoundTrip(request *http.Request) (*http.Response, error) { return r(request) }
 
-// Guards against a sender that outlives its attempt and takes bytes of the body
-// from the next attempt, whose upstream would get others in their place.
+// Guards against a sender that outlives its attempt and consumes bytes of the
+// body that belong to the next attempt, whose upstream would receive a corrupted
+// body.
 func TestSenderOutlivesAttempt(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, true, reply("unused"))
-	b.picks, b.retries = []sycamorerun.Instance{{Name: b.entry.Self}, {Name: b.entry.Self}}, 1
-	var late io.Reader
-	b.entry.Upstream = roundTrip(func(request *http.Request) (*http.Response, error) {
-		if late == nil {
-			late = request.Body
+	fx := newFixture(t, true, reply("unused"))
+	fx.instances, fx.maxRetries = []sycamorerun.Instance{{Name: fx.entry.Self}, {Name: fx.entry.Self}}, 1
+	var firstBody io.Reader
+	fx.entry.Upstream = roundTrip(func(request *http.Request) (*http.Response, error) {
+		if firstBody == nil {
+			firstBody = request.Body
 			return nil, &requester.Failure{Ran: requester.No, Reason: requester.ReasonRejected}
 		}
-		stolen, err := io.ReadAll(late)
-		is.Equal(len(stolen), 0)
+		read, err := io.ReadAll(firstBody)
+		is.Equal(len(read), 0)
 		is.True(err != nil) // the body must not look complete
 		got, err := io.ReadAll(request.Body)
 		is.NoErr(err)
-		is.True(string(got) == large)
+		is.True(string(got) == largeBody)
 		return &http.Response{
 			StatusCode: http.StatusOK, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, ContentLength: 2,
 			Body: io.NopCloser(strings.NewReader("ok")), Request: request,
 		}, nil
 	})
-	is.Equal(b.send(http.MethodPost, "/x", strings.NewReader(large)).body, "ok")
+	is.Equal(fx.send(http.MethodPost, "/x", strings.NewReader(largeBody)).body, "ok")
 }
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -93,20 +93,20 @@
 	f.Observe = func(now time.Time, o forwarder.Observation) {
 		c.balancer.Observe(now, observation(o))
 		if o.Result == sycamorerun.Answered {
-			c.retrier.Ran(now, o.Service, o.Head)
+			c.retrier.Ran(now, o.Service, o.HeadLatency)
 		}
 	}
-	f.Others = func(service string, than []string) bool { return others(instances(service), than) }
+	f.HasOtherInstance = func(service string, than []string) bool { return others(instances(service), than) }
 	f.Owner = func(service, key string) (sycamorerun.Instance, bool) { return owner(instances(service), key) }
-	f.Call = c.retrier.Call
-	f.Allow = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
+	f.CountCall = c.retrier.Call
+	f.AllowRetry = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
 		return c.retrier.Allow(now, retrier.Attempt{
-			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, Same: a.Same, Left: a.Left,
-			Level: a.Level, Result: a.Result,
-			Repeatable: a.Repeatable, Consumed: a.Consumed, Passed: a.Passed,
+			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, Same: a.SameInstance, Left: a.Left,
+			Level: a.CallerAttempt, Result: a.Result,
+			Repeatable: a.Repeatable, Consumed: a.Consumed, Passed: a.ResponseStarted,
 		})
 	}
-	f.Acquire = func(ctx context.Context, now time.Time, want forwarder.Want) (func(), forwarder.Rejection) {
+	f.Acquire = func(ctx context.Context, now time.Time, want forwarder.SlotRequest) (func(), forwarder.Rejection) {
 		if !c.upstream.admits(forwarder.ServiceOf(ctx)) {
 			return nil, forwarder.Rejection{Reason: limiter.Draining}
 		}
@@ -123,11 +123,11 @@
 	f.Begin = func(now time.Time, claim forwarder.Claim) sycamorerun.Decision {
 		return c.deduplicator.Begin(now, claim.ID, key(claim))
 	}
-	f.Finish = func(now time.Time, claim forwarder.Claim, ending forwarder.Ending) {
+	f.Finish = func(now time.Time, claim forwarder.Claim, ending forwarder.Completion) {
 		c.deduplicator.Finish(now, claim.ID, key(claim), deduplicator.Result(ending))
 	}
-	f.Refuse = func(now time.Time, id string, age time.Duration) forwarder.Progress {
-		return forwarder.Progress(c.deduplicator.Refuse(now, id, age))
+	f.Refuse = func(now time.Time, id string, age time.Duration) forwarder.CallState {
+		return forwarder.CallState(c.deduplicator.Refuse(now, id, age))
 	}
 	c.forwarder = f
 	return c
@@ -149,7 +149,7 @@
 func observation(o forwarder.Observation) balancer.Observation {
 	result := balancer.Observation{
 		Instance: o.Instance, Service: o.Service, Result: o.Result, Reason: o.Reason, Status: o.Status,
-		After: o.After, Rank: o.Rank, Objective: o.Objective,
+		After: o.RetryAfter, Rank: o.Rank, Objective: o.Objective,
 	}
 	if o.Load != nil {
 		result.Load = &balancer.Load{
@@ -187,5 +187,5 @@
 }
 
 func key(claim forwarder.Claim) deduplicator.Key {
-	return deduplicator.Key{Name: claim.Key, Print: claim.Print}
+	return deduplicator.Key{Name: claim.Key, Print: claim.Fingerprint}
 }
