--- a/node/requester/exchange.go
+++ b/node/requester/exchange.go
@@ -154,7 +154,7 @@
 func (x *exchange) reject(response *http.Response, reason string) *Failure {
 	x.responded.Store(true)
 	x.discard(x.body(response))
-	return &Failure{Ran: No, Reason: reason}
+	return &Failure{Execution: No, Reason: reason}
 }
 
 // skip reads the response to an earlier request. Whether it has a body depends
@@ -201,14 +201,14 @@
 	x.abandon()
 	switch untouched := x.conn.untouched(); {
 	case !untouched && reason == ReasonRequest:
-		return &Failure{Ran: Unknown, Reason: ReasonBroken, Cause: cause}
+		return &Failure{Execution: Unknown, Reason: ReasonBroken, Cause: cause}
 	case !untouched:
-		return &Failure{Ran: Unknown, Reason: reason, Cause: cause}
+		return &Failure{Execution: Unknown, Reason: reason, Cause: cause}
 	case reason != ReasonRequest:
 		reason = ReasonUnreachable
 	}
 	// Nothing was written, and nothing will be since the connection is closed.
-	return &Failure{Ran: No, Reason: reason, Cause: cause}
+	return &Failure{Execution: No, Reason: reason, Cause: cause}
 }
 
 // abandon closes the connection as the reader.
--- a/node/requester/failure.go
+++ b/node/requester/failure.go
@@ -1,14 +1,14 @@
 package requester
 
-// Ran says whether a request that failed has run at the upstream.
-type Ran string
+// Execution says whether a request that failed has run at the upstream.
+type Execution string
 
-// Values of Ran.
+// Values of Execution.
 const (
 	// No means that the request has not run and will not.
-	No Ran = "no"
+	No Execution = "no"
 	// Unknown means that it may have run.
-	Unknown Ran = "unknown"
+	Unknown Execution = "unknown"
 )
 
 // Values of Failure.Reason.
@@ -34,15 +34,15 @@
 
 // Failure is the end of a request without a response.
 type Failure struct {
-	Ran    Ran
-	Reason string
+	Execution Execution
+	Reason    string
 	// Cause is the error behind it, or nil.
 	Cause error
 }
 
 // Error implements error.
 func (f *Failure) Error() string {
-	text := "request failed (ran: " + string(f.Ran) + "): " + f.Reason
+	text := "request failed (ran: " + string(f.Execution) + "): " + f.Reason
 	if f.Cause != nil {
 		text += ": " + f.Cause.Error()
 	}
--- a/node/requester/fake_test.go
+++ b/node/requester/fake_test.go
@@ -86,7 +86,7 @@
 	body   string
 	// broken says that the body ended with an error.
 	broken bool
-	ran    Ran
+	ran    Execution
 	reason string
 }
 
@@ -95,7 +95,7 @@
 	response, err := r.RoundTrip(request)
 	var failed *Failure
 	if errors.As(err, &failed) {
-		return outcome{ran: failed.Ran, reason: failed.Reason}
+		return outcome{ran: failed.Execution, reason: failed.Reason}
 	}
 	if err != nil {
 		return outcome{reason: err.Error()}
