--- a/node/forwarder/execute.go
+++ b/node/forwarder/execute.go
@@ -122,7 +122,7 @@
 		return unknown(ended(ctx, reasonBroken))
 	}
 	reason := ended(ctx, failed.Reason)
-	if failed.Execution == requester.No {
+	if failed.Execution == requester.NotExecuted {
 		return notRun(reason)
 	}
 	return unknown(reason)
--- a/node/forwarder/upload_test.go
+++ b/node/forwarder/upload_test.go
@@ -27,7 +27,7 @@
 	b.entry.Upstream = roundTrip(func(request *http.Request) (*http.Response, error) {
 		if late == nil {
 			late = request.Body
-			return nil, &requester.Failure{Execution: requester.No, Reason: requester.ReasonRejected}
+			return nil, &requester.Failure{Execution: requester.NotExecuted, Reason: requester.ReasonRejected}
 		}
 		stolen, err := io.ReadAll(late)
 		is.Equal(len(stolen), 0)
--- a/node/requester/exchange.go
+++ b/node/requester/exchange.go
@@ -154,7 +154,7 @@
 func (x *exchange) reject(response *http.Response, reason string) *Failure {
 	x.responded.Store(true)
 	x.discard(x.body(response))
-	return &Failure{Execution: No, Reason: reason}
+	return &Failure{Execution: NotExecuted, Reason: reason}
 }
 
 // skip reads the response to an earlier request. Whether it has a body depends
@@ -208,7 +208,7 @@
 		reason = ReasonUnreachable
 	}
 	// Nothing was written, and nothing will be since the connection is closed.
-	return &Failure{Execution: No, Reason: reason, Cause: cause}
+	return &Failure{Execution: NotExecuted, Reason: reason, Cause: cause}
 }
 
 // abandon closes the connection as the reader.
--- a/node/requester/failure.go
+++ b/node/requester/failure.go
@@ -5,8 +5,8 @@
 
 // Values of Execution.
 const (
-	// No means that the request has not run and will not.
-	No Execution = "no"
+	// NotExecuted means that the request has not run and will not.
+	NotExecuted Execution = "no"
 	// Unknown means that it may have run.
 	Unknown Execution = "unknown"
 )
--- a/node/requester/fuzz_test.go
+++ b/node/requester/fuzz_test.go
@@ -59,7 +59,7 @@
 				t.Fatalf("%d bytes of %d", len(body), length)
 			}
 			_ = response.Body.Close()
-		} else if failed := err.(*Failure); failed.Execution == No && failed.Reason != ReasonRejected && failed.Reason != ReasonMisdirected {
+		} else if failed := err.(*Failure); failed.Execution == NotExecuted && failed.Reason != ReasonRejected && failed.Reason != ReasonMisdirected {
 			t.Fatal("not run although it was written", failed)
 		}
 		if count(&r.pool) != 0 {
--- a/node/requester/requester.go
+++ b/node/requester/requester.go
@@ -90,12 +90,12 @@
 		kept, reason := r.pool.take()
 		switch {
 		case reason != "":
-			return nil, &Failure{Execution: No, Reason: reason}
+			return nil, &Failure{Execution: NotExecuted, Reason: reason}
 		case kept == nil:
 			fresh, err := r.Dial(ctx)
 			if err != nil {
 				r.pool.release()
-				return nil, &Failure{Execution: No, Reason: ReasonUnreachable, Cause: err}
+				return nil, &Failure{Execution: NotExecuted, Reason: ReasonUnreachable, Cause: err}
 			}
 			return newConn(fresh), nil
 		case time.Now().Before(kept.expires) && silent(kept.raw):
@@ -129,7 +129,7 @@
 // and written at once if it is small, all others are streams.
 func prepare(request *http.Request) (*outgoing, *Failure) {
 	if err := valid(request); err != nil {
-		return nil, &Failure{Execution: No, Reason: ReasonRequest, Cause: err}
+		return nil, &Failure{Execution: NotExecuted, Reason: ReasonRequest, Cause: err}
 	}
 	out := &outgoing{Request: request.WithContext(context.Background())}
 	length := request.ContentLength
--- a/node/requester/requester_test.go
+++ b/node/requester/requester_test.go
@@ -42,7 +42,7 @@
 	other := with(with(ok("old"), "X-Id: 0"), "X-Signature: s")
 	named := Contract{Request: "X-Id"}
 	unknown := outcome{ran: Unknown, reason: ReasonBroken}
-	refusal := outcome{ran: No, reason: ReasonRejected}
+	refusal := outcome{ran: NotExecuted, reason: ReasonRejected}
 	cases := map[string]struct {
 		contract    Contract
 		steps       []step
@@ -82,10 +82,10 @@
 		"unsigned":            {contract: checks, steps: []step{{answer: with(ok("a"), "X-Id: ID"), want: outcome{ran: Unknown, reason: ReasonUnsigned}}, signed}, connections: 2},
 		"unsigned failure":    {contract: checks, steps: []step{{answer: strings.Replace(with(ok("a"), "X-Id: ID"), "200", "500", 1), want: outcome{status: 500, body: "a"}}, signed}, connections: 1},
 		"refused":             {contract: checks, steps: []step{{answer: strings.Replace(with(with(ok("a"), "X-Id: ID"), "X-Unexecuted: 1"), "200", "503", 1), want: refusal}, signed}, connections: 1},
-		"refused, cut body":   {contract: checks, steps: []step{{answer: "HTTP/1.1 421 No\r\nX-Id: ID\r\nContent-Length: 9\r\n\r\n", want: outcome{ran: No, reason: ReasonMisdirected}}, signed}, connections: 2},
-		"slow after refused":  {contract: checks, steps: []step{{answer: strings.Replace(with(ok("a"), "X-Id: ID"), "200", "421", 1), want: outcome{ran: No, reason: ReasonMisdirected}}, {late: 2 * spareWait, answer: signed.answer, want: signed.want}}, connections: 1},
+		"refused, cut body":   {contract: checks, steps: []step{{answer: "HTTP/1.1 421 No\r\nX-Id: ID\r\nContent-Length: 9\r\n\r\n", want: outcome{ran: NotExecuted, reason: ReasonMisdirected}}, signed}, connections: 2},
+		"slow after refused":  {contract: checks, steps: []step{{answer: strings.Replace(with(ok("a"), "X-Id: ID"), "200", "421", 1), want: outcome{ran: NotExecuted, reason: ReasonMisdirected}}, {late: 2 * spareWait, answer: signed.answer, want: signed.want}}, connections: 1},
 		"refused, no length":  {contract: checks, steps: []step{{answer: "HTTP/1.1 429 Slow\r\nX-Id: ID\r\nX-Unexecuted: 1\r\n\r\n", want: refusal}, signed}, connections: 2},
-		"misdirected":         {contract: checks, steps: []step{{answer: strings.Replace(with(ok("a"), "X-Id: ID"), "200", "421", 1), want: outcome{ran: No, reason: ReasonMisdirected}}, signed}, connections: 1},
+		"misdirected":         {contract: checks, steps: []step{{answer: strings.Replace(with(ok("a"), "X-Id: ID"), "200", "421", 1), want: outcome{ran: NotExecuted, reason: ReasonMisdirected}}, signed}, connections: 1},
 		"status alone":        {contract: checks, steps: []step{{answer: strings.Replace(with(ok("a"), "X-Id: ID"), "200", "503", 1), want: outcome{status: 503, body: "a"}}}, connections: 1},
 		"no such check":       {steps: []step{{answer: strings.Replace(with(ok("a"), "X-Unexecuted: 1"), "200", "421", 1), want: outcome{status: 421, body: "a"}}, fine}, connections: 1},
 		"response of another": {contract: checks, steps: []step{signed, {answer: other + signed.answer, want: signed.want}, signed}, connections: 2},
@@ -152,20 +152,20 @@
 	is.NoErr(listener.Close())
 	r := New(netip.MustParseAddrPort(listener.Addr().String()), 1)
 	for range 2 { // a failed dial does not count as a connection
-		is.Equal(do(r, get(t.Context(), "")), outcome{ran: No, reason: ReasonUnreachable})
+		is.Equal(do(r, get(t.Context(), "")), outcome{ran: NotExecuted, reason: ReasonUnreachable})
 	}
 	invalid := get(t.Context(), "")
 	invalid.Header["X"] = []string{"a\r\nY: b"}
-	is.Equal(do(r, invalid), outcome{ran: No, reason: ReasonRequest})
+	is.Equal(do(r, invalid), outcome{ran: NotExecuted, reason: ReasonRequest})
 	r.Dial = func(ctx context.Context) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	is.Equal(do(r, get(ctx, "")), outcome{ran: No, reason: ReasonUnreachable})
+	is.Equal(do(r, get(ctx, "")), outcome{ran: NotExecuted, reason: ReasonUnreachable})
 	r.Close()
-	is.Equal(do(r, get(t.Context(), "")), outcome{ran: No, reason: ReasonUnreachable})
+	is.Equal(do(r, get(t.Context(), "")), outcome{ran: NotExecuted, reason: ReasonUnreachable})
 }
 
 // Guards the upstream against more connections than it takes, the caller
@@ -191,7 +191,7 @@
 		for range 3 {
 			<-taken
 		}
-		is.Equal(do(r, get(t.Context(), "")), outcome{ran: No, reason: ReasonFull})
+		is.Equal(do(r, get(t.Context(), "")), outcome{ran: NotExecuted, reason: ReasonFull})
 		if round == 1 {
 			cancel() // closed connections make room for others
 		}
--- a/node/requester/stream_test.go
+++ b/node/requester/stream_test.go
@@ -354,7 +354,7 @@
 		}
 		return &crossing{TCPConn: conn.(*net.TCPConn), writing: make(chan struct{}), closed: make(chan struct{})}, nil
 	}
-	is.Equal(do(r, post(t.Context(), strings.NewReader("abc"), -1)), outcome{ran: No, reason: ReasonUnreachable})
+	is.Equal(do(r, post(t.Context(), strings.NewReader("abc"), -1)), outcome{ran: NotExecuted, reason: ReasonUnreachable})
 }
 
 // Guards a request of which nothing was written: it is sent over another
@@ -371,7 +371,7 @@
 		}, outcome{status: 200, body: large[:20000]}},
 		"stream": {func(ctx context.Context) *http.Request {
 			return post(ctx, strings.NewReader("abc"), -1)
-		}, outcome{ran: No, reason: ReasonUnreachable}},
+		}, outcome{ran: NotExecuted, reason: ReasonUnreachable}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
