--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -82,7 +82,7 @@
 	limits.Serve(b.caller.Config)
 	over(b.caller)
 	under := b.caller.Listener
-	b.caller.Listener = limits.On(under)
+	b.caller.Listener = limits.Wrap(under)
 	b.caller.Start()
 	if memory, ok := under.(*memoryListener); ok {
 		b.caller.Client().Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/node/listener/listener.go
+++ b/node/listener/listener.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// On returns a listener whose connections are those of inner under the limits.
-func (l *Listener) On(inner net.Listener) net.Listener { return &accepting{inner, l} }
+// Wrap returns a listener whose connections are those of inner under the limits.
+func (l *Listener) Wrap(inner net.Listener) net.Listener { return &accepting{inner, l} }
 
 // Serve prepares a server, which must have no timeouts of its own: net/http reads
 // them without a lock, so that they can't change while it serves.
--- a/node/listener/listener_test.go
+++ b/node/listener/listener_test.go
@@ -27,7 +27,7 @@
 	server.Protocols.SetHTTP1(true)
 	server.Protocols.SetUnencryptedHTTP2(true)
 	l.Serve(server)
-	go func() { _ = server.Serve(l.On(plain)) }()
+	go func() { _ = server.Serve(l.Wrap(plain)) }()
 	t.Cleanup(func() {
 		_ = server.Close()
 		l.emptied(t, 5*time.Second)
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -134,7 +134,7 @@
 	start("upstream", n.watchUpstream)
 	start("settings", n.follow(n.updates))
 	start("operators", serve(operators))
-	start("callers", serveOn(callers, n.calls.listener.On))
+	start("callers", serveOn(callers, n.calls.listener.Wrap))
 	for address, handler := range n.handlers {
 		start("handler", serve(&http.Server{
 			Addr: address.String(), Handler: handler(n.api()), ReadHeaderTimeout: headerTimeout,
