--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -79,7 +79,7 @@
 	b.caller.Config.MaxHeaderBytes = headerBytes
 	limits := listener.New()
 	limits.Refuse = b.entry.RefuseHeader
-	limits.Serve(b.caller.Config)
+	limits.Configure(b.caller.Config)
 	over(b.caller)
 	under := b.caller.Listener
 	b.caller.Listener = limits.Wrap(under)
--- a/node/listener/listener.go
+++ b/node/listener/listener.go
@@ -52,9 +52,9 @@
 // Wrap returns a listener whose connections are those of inner under the limits.
 func (l *Listener) Wrap(inner net.Listener) net.Listener { return &accepting{inner, l} }
 
-// Serve prepares a server, which must have no timeouts of its own: net/http reads
+// Configure prepares a server, which must have no timeouts of its own: net/http reads
 // them without a lock, so that they can't change while it serves.
-func (l *Listener) Serve(server *http.Server) {
+func (l *Listener) Configure(server *http.Server) {
 	next := server.Handler
 	server.ConnState = l.track
 	server.ConnContext = func(ctx context.Context, of net.Conn) context.Context {
--- a/node/listener/listener_test.go
+++ b/node/listener/listener_test.go
@@ -26,7 +26,7 @@
 	server := &http.Server{Handler: handler, MaxHeaderBytes: 1 << 20, Protocols: new(http.Protocols)}
 	server.Protocols.SetHTTP1(true)
 	server.Protocols.SetUnencryptedHTTP2(true)
-	l.Serve(server)
+	l.Configure(server)
 	go func() { _ = server.Serve(l.Wrap(plain)) }()
 	t.Cleanup(func() {
 		_ = server.Close()
--- a/node/runner/upstream.go
+++ b/node/runner/upstream.go
@@ -143,7 +143,7 @@
 	server := c.forwarder.Server()
 	server.Addr = address.String()
 	server.Handler = wrap(server.Handler)
-	c.listener.Serve(server)
+	c.listener.Configure(server)
 	server.Protocols = new(http.Protocols)
 	server.Protocols.SetHTTP1(true)
 	server.Protocols.SetUnencryptedHTTP2(true)
