--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -78,7 +78,7 @@
 	b.caller.Config.ErrorLog = quiet
 	b.caller.Config.MaxHeaderBytes = headerBytes
 	limits := listener.New()
-	limits.Refuse = b.entry.RefuseHeader
+	limits.ErrorResponse = b.entry.RefuseHeader
 	limits.Configure(b.caller.Config)
 	over(b.caller)
 	under := b.caller.Listener
--- a/node/listener/conn.go
+++ b/node/listener/conn.go
@@ -204,7 +204,7 @@
 	c.mutex.Unlock()
 	limit := time.Now().Add(refuseTime)
 	_ = c.Conn.SetDeadline(limit)
-	if _, err := c.Conn.Write(c.listener.Refuse(status)); err == nil && c.halfClose() == nil {
+	if _, err := c.Conn.Write(c.listener.ErrorResponse(status)); err == nil && c.halfClose() == nil {
 		c.discard()
 	}
 	_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
--- a/node/listener/listener.go
+++ b/node/listener/listener.go
@@ -17,9 +17,9 @@
 // Listener keeps the limits and the connections that they apply to. An
 // http.Server that Serve has prepared serves On.
 type Listener struct {
-	// Refuse returns the response to a header that is too large (status 431) or
+	// ErrorResponse returns the response to a header that is too large (status 431) or
 	// not there in time (408). The connection is closed after it.
-	Refuse func(status int) []byte
+	ErrorResponse func(status int) []byte
 
 	limits atomic.Pointer[sycamorerun.Limits]
 	mutex  sync.Mutex
--- a/node/listener/listener_test.go
+++ b/node/listener/listener_test.go
@@ -19,7 +19,7 @@
 func serve(t *testing.T, limits sycamorerun.Limits, handler http.HandlerFunc) (*Listener, string) {
 	t.Helper()
 	l := New()
-	l.Refuse = func(status int) []byte { return fmt.Appendf(nil, "HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n", status) }
+	l.ErrorResponse = func(status int) []byte { return fmt.Appendf(nil, "HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n", status) }
 	l.SetLimits(limits)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -76,7 +76,7 @@
 	f := forwarder.New(settings.Name)
 	f.SetLimits(settings.limits())
 	c.listener = listener.New()
-	c.listener.Refuse = f.RefuseHeader
+	c.listener.ErrorResponse = f.RefuseHeader
 	c.listener.SetLimits(settings.limits())
 	f.Grace = settings.DrainDelay
 	f.Upstream = c.upstream
