--- a/node/requester/conn.go
+++ b/node/requester/conn.go
@@ -12,34 +12,35 @@
 	"github.com/pkg/errors"
 )
 
-// probes detect a connection that has gone silent.
-var probes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
+// keepAlive configures the probes that detect a dead peer.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
-// userTimeout bounds the time for which the upstream's system confirms nothing
-// that was written.
+// userTimeout limits how long written data may stay unacknowledged by the
+// upstream's operating system.
 const userTimeout = 3 * time.Second
 
-var errHead = errors.New("head of the response too large")
+var errHeaderTooLarge = errors.New("response header exceeds the size limit")
 
 // conn is a connection to the upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
-	// raw is nil if the connection is no socket.
+	// raw is nil if the connection is not a socket.
 	raw    syscall.RawConn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// kept says that it carried a request before, heads that one of its requests
-	// had the method HEAD.
-	kept, heads bool
-	expires     time.Time
-	// head is what may still be read of a head, negative outside of heads.
-	head int
-	// wrote says that a part of the current request may have been written, failed
-	// that a write failed.
-	wrote, failed atomic.Bool
-	// writing is held during a write.
-	writing sync.Mutex
-	dropped sync.Once
+	// reused is set once the connection has carried a request, sentHEAD once it
+	// has carried a HEAD request.
+	reused, sentHEAD bool
+	expires          time.Time
+	// headerRemaining is the number of bytes that may still be read of a response
+	// header. It is negative while no header is read.
+	headerRemaining int
+	// wrote is set if a part of the current request may have been written,
+	// writeFailed if a write failed.
+	wrote, writeFailed atomic.Bool
+	// writeMutex is held during a write.
+	writeMutex sync.Mutex
+	closeOnce  sync.Once
 }
 
 func newConn(inner net.Conn) *conn {
@@ -51,30 +52,30 @@
 	return c
 }
 
-// Read implements net.Conn with a limit for heads.
+// Read implements net.Conn and limits the size of response headers.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.head == 0 {
-		return 0, errHead
+	if c.headerRemaining == 0 {
+		return 0, errHeaderTooLarge
 	}
-	if c.head > 0 {
-		p = p[:min(len(p), c.head)]
+	if c.headerRemaining > 0 {
+		p = p[:min(len(p), c.headerRemaining)]
 	}
 	n, err := c.Conn.Read(p)
-	if c.head > 0 {
-		c.head -= n
+	if c.headerRemaining > 0 {
+		c.headerRemaining -= n
 	}
 	return n, err
 }
 
-// Write implements net.Conn and notes whether the upstream may have got
-// something.
+// Write implements net.Conn and records whether the upstream may have received
+// any part of the request.
 func (c *conn) Write(p []byte) (int, error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMutex.Lock()
+	defer c.writeMutex.Unlock()
 	first := !c.wrote.Swap(true)
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.failed.Store(true)
+		c.writeFailed.Store(true)
 		if first && n == 0 {
 			c.wrote.Store(false)
 		}
@@ -82,24 +83,26 @@
 	return n, err
 }
 
-// untouched reports whether nothing of the request was written. The connection
-// is closed, so that a write under way ends and none follows.
-func (c *conn) untouched() bool {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+// nothingWritten reports whether no part of the request was written. The
+// connection must be closed before, so that a write in progress ends and no
+// other one follows.
+func (c *conn) nothingWritten() bool {
+	c.writeMutex.Lock()
+	defer c.writeMutex.Unlock()
 	return !c.wrote.Load()
 }
 
-// copyBytes is the size of the reads of a streamed body.
-const copyBytes = 32 << 10
+// copyBufferBytes is the buffer size for reading a streamed body.
+const copyBufferBytes = 32 << 10
 
-var buffers = sync.Pool{New: func() any { return new([copyBytes]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// ReadFrom implements io.ReaderFrom. The bufio.Writer would wait until its
-// buffer is full.
+// ReadFrom implements io.ReaderFrom and writes each part of a body as soon as
+// it is read. The bufio.Writer alone would hold it back until its buffer is
+// full.
 func (c *conn) ReadFrom(source io.Reader) (int64, error) {
-	buffer := buffers.Get().(*[copyBytes]byte)
-	defer buffers.Put(buffer)
+	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
+	defer copyBuffers.Put(buffer)
 	var total int64
 	for {
 		n, err := source.Read(buffer[:])
@@ -119,7 +122,7 @@
 	}
 }
 
-// halfClose tells the upstream that no more is written.
+// halfClose tells the upstream that nothing more will be written.
 func (c *conn) halfClose() {
 	if socket, ok := c.Conn.(*net.TCPConn); ok {
 		_ = socket.CloseWrite()
--- a/node/requester/contract.go
+++ b/node/requester/contract.go
@@ -5,72 +5,76 @@
 )
 
 // Contract names the headers by which an upstream describes its responses. An
-// empty name means that there is no such check.
+// empty name disables the check.
 type Contract struct {
-	// Identity carries the id of a request, which its response repeats.
+	// Identity carries a request ID that the response must repeat.
 	Identity string
-	// Request carries an id of a request that its response may repeat. A response
-	// that has the id of another request responds to that one.
+	// Request carries a request ID that the response may repeat. A response with a
+	// different ID belongs to another request.
 	Request string
-	// Unexecuted marks a response to a request that the upstream did not run. If
-	// it is set, a response with status 421 says the same.
+	// Unexecuted marks a response to a request that the upstream did not execute.
+	// If the name is set, status 421 means the same.
 	Unexecuted string
-	// Signature is present on each response with a status 2xx.
+	// Signature must be present on each response with a 2xx status.
 	Signature string
 }
 
-// verdict is what a response says of the request that waits for one.
-type verdict int
+// responseClass is the result of checking a response against the pending
+// request.
+type responseClass int
 
 const (
-	// own is a response that is passed on.
-	own verdict = iota
-	// foreign responds to an earlier request.
-	foreign
+	// matching is the response to the pending request.
+	matching responseClass = iota
+	// mismatched is the response to an earlier request.
+	mismatched
+	// unidentified lacks the request ID that it must repeat.
 	unidentified
-	refused
-	// misdirected is the response of another instance than the one meant.
+	// rejected is marked as the response to a request that was not executed.
+	rejected
+	// misdirected is the response of an instance other than the target.
 	misdirected
+	// unsigned lacks the signature.
 	unsigned
 )
 
-// judge compares a response with the request that waits for it.
-func (c *Contract) judge(request, response http.Header, status int) verdict {
-	id, repeated := repeats(request, response, c.Identity)
-	call, named := repeats(request, response, c.Request)
-	// An upstream that rejects a request before it reads its headers repeats no
-	// id.
+// classify checks a response against the pending request.
+func (c *Contract) classify(request, response http.Header, status int) responseClass {
+	identity, echoedIdentity := echoedIDs(request, response, c.Identity)
+	requestID, echoedRequestID := echoedIDs(request, response, c.Request)
+	// A missing ID is checked after rejections: an upstream that rejects a request
+	// before it reads the headers can't repeat the ID.
 	switch {
-	case differs(repeated, id) || differs(named, call):
-		return foreign
+	case mismatches(echoedIdentity, identity) || mismatches(echoedRequestID, requestID):
+		return mismatched
 	case c.Unexecuted != "" && status == http.StatusMisdirectedRequest:
 		return misdirected
 	case c.Unexecuted != "" && lookup(response, c.Unexecuted) != "":
-		return refused
-	case id != "" && len(repeated) == 0:
+		return rejected
+	case identity != "" && len(echoedIdentity) == 0:
 		return unidentified
 	case c.Signature != "" && status >= 200 && status < 300 && lookup(response, c.Signature) == "":
 		return unsigned
 	default:
-		return own
+		return matching
 	}
 }
 
-// repeats returns the id of a request in the header with a name, and what its
-// response has there. Without an id nothing in the response counts.
-func repeats(request, response http.Header, name string) (id string, repeated []string) {
+// echoedIDs returns the request ID in the named header and the values of that
+// header in the response. It ignores the response if the request has no ID.
+func echoedIDs(request, response http.Header, name string) (id string, echoed []string) {
 	if id = lookup(request, name); id != "" {
-		repeated = response.Values(name)
+		echoed = response.Values(name)
 	}
-	return id, repeated
+	return id, echoed
 }
 
-// differs reports whether a response repeats something else than id.
-func differs(repeated []string, id string) bool {
-	return len(repeated) > 1 || len(repeated) == 1 && repeated[0] != id
+// mismatches reports whether the response repeats anything but the given ID.
+func mismatches(echoed []string, id string) bool {
+	return len(echoed) > 1 || len(echoed) == 1 && echoed[0] != id
 }
 
-// lookup returns the first value of a header that has a name.
+// lookup returns the first value of the named header, or "" if name is empty.
 func lookup(header http.Header, name string) string {
 	if name == "" {
 		return ""
--- a/node/requester/exchange.go
+++ b/node/requester/exchange.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// informationalMost bounds the responses with a status 1xx.
-	informationalMost = 16
-	// flushWait bounds the time for the last bytes of a request whose response
-	// is complete.
-	flushWait = 5 * time.Second
-	// spareBytes and spareWait bound the body of a response that nobody wants. It
-	// is read so that the connection can be kept.
-	spareBytes = 16 << 10
-	spareWait  = 50 * time.Millisecond
+	// maxInformational is the maximum number of 1xx responses before the final
+	// one.
+	maxInformational = 16
+	// flushTimeout limits the time to write the last bytes of a request whose
+	// response is complete.
+	flushTimeout = 5 * time.Second
+	// maxDrainBytes and drainTimeout limit how much of an unused response body is
+	// read in order to keep the connection.
+	maxDrainBytes = 16 << 10
+	drainTimeout  = 50 * time.Millisecond
 )
 
-// Causes of failures.
+// Errors that occur as the cause of a Failure.
 var (
-	errInformational = errors.New("too many responses with a status 1xx")
-	errProtocol      = errors.New("no HTTP/1 response")
-	errSurplus       = errors.New("response to another request whose end can't be known")
+	errInformational = errors.New("too many informational (1xx) responses")
+	errProtocol      = errors.New("response is not valid HTTP/1 or switches protocols")
+	errUnknownLength = errors.New("response to an earlier request has an unknown length, since the connection carried a HEAD request")
 )
 
 // exchange is a request and its response on a connection.
@@ -36,44 +37,45 @@
 	contract *Contract
 	conn     *conn
 	out      *outgoing
-	// stop ends the effect of the request's context on the connection; detached
-	// says that it did so before the end.
+	// stop detaches the request's context from the connection. detached is set if
+	// that succeeded before the exchange was done.
 	stop     func() bool
 	detached bool
-	// timed says that a deadline of the connection is set.
-	timed bool
-	// parts counts the sender and the reader that still use the connection.
-	parts atomic.Int32
-	// spoiled says that the connection can't be kept.
-	spoiled atomic.Bool
-	// responded says that the head of the response was read, sent that the whole
+	// deadlineSet is set if the connection has a read or write deadline.
+	deadlineSet bool
+	// refs counts the users of the connection: the reader, and the sender of a
+	// streamed body.
+	refs atomic.Int32
+	// mustClose is set if the connection must not be reused.
+	mustClose atomic.Bool
+	// responded is set once the response header was read, sent once the whole
 	// request was written.
 	responded, sent atomic.Bool
 }
 
-// run sends the request and reads the head of the response.
+// run sends the request and reads the response header.
 func (x *exchange) run(ctx context.Context) (*http.Response, *Failure) {
 	c := x.conn
 	c.wrote.Store(false)
-	c.heads = c.heads || x.out.Method == http.MethodHead
-	x.parts.Store(1)
+	c.sentHEAD = c.sentHEAD || x.out.Method == http.MethodHead
+	x.refs.Store(1)
 	x.stop = context.AfterFunc(ctx, func() { x.pool.drop(c) })
-	if x.out.source != nil {
-		x.patience(0)
-		x.parts.Store(2)
-		go x.stream()
+	if x.out.streamed != nil {
+		x.setUserTimeout(0)
+		x.refs.Store(2)
+		go x.sendStreamed()
 		return x.receive()
 	}
 	switch err := x.send(); {
 	case err == nil:
 		x.sent.Store(true)
-	case !c.failed.Load():
-		return nil, x.fail(ReasonRequest, err)
+	case !c.writeFailed.Load():
+		return nil, x.fail(ReasonBadRequest, err)
 	case !c.wrote.Load():
 		return nil, x.fail(ReasonUnreachable, err)
 	default:
-		// The upstream takes no more, but its response may be there.
-		x.spoiled.Store(true)
+		// The upstream reads no more of the request but may have responded.
+		x.mustClose.Store(true)
 	}
 	return x.receive()
 }
@@ -87,15 +89,16 @@
 	return err
 }
 
-// stream sends a request whose body is written while the response is read.
-func (x *exchange) stream() {
+// sendStreamed sends a request whose body is written while the response is
+// read.
+func (x *exchange) sendStreamed() {
 	err := x.send()
 	x.sent.Store(err == nil)
-	// When a write has failed, the response may be there all the same. When the
-	// body broke off, the upstream must neither wait for the rest nor take it for
+	// The response may still arrive after a failed write. After a failed read of
+	// the body, the upstream must neither wait for the rest nor consider the body
 	// complete.
 	switch c := x.conn; {
-	case err == nil || c.failed.Load() && c.wrote.Load():
+	case err == nil || c.writeFailed.Load() && c.wrote.Load():
 	case x.responded.Load():
 		c.halfClose()
 	default:
@@ -104,34 +107,35 @@
 	x.done(err == nil)
 }
 
-// patience sets how long the upstream's system may confirm nothing. An upstream
-// that does not read a long body looks like that.
-func (x *exchange) patience(limit time.Duration) {
+// setUserTimeout sets TCP_USER_TIMEOUT if the connection is a socket. It is off
+// while a body is streamed, since an upstream that reads a long body slowly
+// would look like a dead one.
+func (x *exchange) setUserTimeout(timeout time.Duration) {
 	if x.conn.raw != nil {
-		confirm(x.conn.raw, limit)
+		setUserTimeout(x.conn.raw, timeout)
 	}
 }
 
-// receive reads heads until the one of the request's own response.
+// receive reads responses until the one to this request.
 func (x *exchange) receive() (*http.Response, *Failure) {
 	for informational := 0; ; {
-		x.conn.head = headBytes
+		x.conn.headerRemaining = maxHeaderBytes
 		response, err := http.ReadResponse(x.conn.reader, x.out.Request)
-		x.conn.head = -1
+		x.conn.headerRemaining = -1
 		switch {
 		case err != nil:
 			return nil, x.fail(ReasonBroken, err)
 		case response.ProtoMajor != 1 || response.StatusCode < 100 || response.StatusCode == http.StatusSwitchingProtocols:
 			return nil, x.fail(ReasonBroken, errProtocol)
 		case response.StatusCode < 200:
-			if informational++; informational > informationalMost {
+			if informational++; informational > maxInformational {
 				return nil, x.fail(ReasonBroken, errInformational)
 			}
 			continue
 		}
-		switch x.contract.judge(x.out.Header, response.Header, response.StatusCode) {
-		case foreign:
-			if err := x.skip(response); err != nil {
+		switch x.contract.classify(x.out.Header, response.Header, response.StatusCode) {
+		case mismatched:
+			if err := x.skipResponse(response); err != nil {
 				return nil, x.fail(ReasonBroken, err)
 			}
 			continue
@@ -139,44 +143,44 @@
 			return nil, x.fail(ReasonUnidentified, nil)
 		case unsigned:
 			return nil, x.fail(ReasonUnsigned, nil)
-		case refused:
+		case rejected:
 			return nil, x.reject(response, ReasonRejected)
 		case misdirected:
 			return nil, x.reject(response, ReasonMisdirected)
 		}
 		x.responded.Store(true)
-		response.Body = x.body(response)
+		response.Body = x.newResponseBody(response)
 		return response, nil
 	}
 }
 
-// reject ends a request that the upstream says it did not run.
+// reject ends a request that the upstream reported as not executed.
 func (x *exchange) reject(response *http.Response, reason string) *Failure {
 	x.responded.Store(true)
-	x.discard(x.body(response))
+	x.drain(x.newResponseBody(response))
 	return &Failure{Execution: NotExecuted, Reason: reason}
 }
 
-// skip reads the response to an earlier request. Whether it has a body depends
-// on the method of that request.
-func (x *exchange) skip(response *http.Response) error {
-	x.spoiled.Store(true)
-	if x.conn.heads {
-		return errSurplus
+// skipResponse reads the response to an earlier request. Whether it has a body
+// depends on the method of that request.
+func (x *exchange) skipResponse(response *http.Response) error {
+	x.mustClose.Store(true)
+	if x.conn.sentHEAD {
+		return errUnknownLength
 	}
 	_, err := io.Copy(io.Discard, response.Body)
 	return err
 }
 
-// body prepares the connection for its next request and returns the body, at
-// whose end it is free.
-func (x *exchange) body(response *http.Response) io.ReadCloser {
+// newResponseBody returns the body of the response. The connection is released
+// at the end of the body.
+func (x *exchange) newResponseBody(response *http.Response) io.ReadCloser {
 	if response.Close || x.out.Close || !response.ProtoAtLeast(1, 1) || x.conn.raw == nil {
-		x.spoiled.Store(true)
+		x.mustClose.Store(true)
 	}
-	b := &body{
-		Reader: response.Body, exchange: x, limit: idle(response.Header),
-		unframed: response.ContentLength < 0 && !slices.Contains(response.TransferEncoding, "chunked"),
+	b := &responseBody{
+		Reader: response.Body, exchange: x, idleTimeout: idleTimeout(response.Header),
+		closeDelimited: response.ContentLength < 0 && !slices.Contains(response.TransferEncoding, "chunked"),
 	}
 	if response.Body == http.NoBody {
 		b.end(true)
@@ -185,89 +189,90 @@
 	return b
 }
 
-// discard reads a short body and closes a longer one.
-func (x *exchange) discard(body io.ReadCloser) {
+// drain reads a short body to its end and closes a longer one.
+func (x *exchange) drain(body io.ReadCloser) {
 	if body == http.NoBody {
 		return
 	}
-	x.timed = true
-	_ = x.conn.SetReadDeadline(time.Now().Add(spareWait))
-	_, _ = io.CopyN(io.Discard, body, spareBytes)
+	x.deadlineSet = true
+	_ = x.conn.SetReadDeadline(time.Now().Add(drainTimeout))
+	_, _ = io.CopyN(io.Discard, body, maxDrainBytes)
 	_ = body.Close()
 }
 
-// fail closes the connection and says what that means for the request.
+// fail closes the connection and returns the failure of the request.
 func (x *exchange) fail(reason string, cause error) *Failure {
 	x.abandon()
-	switch untouched := x.conn.untouched(); {
-	case !untouched && reason == ReasonRequest:
-		return &Failure{Execution: Unknown, Reason: ReasonBroken, Cause: cause}
-	case !untouched:
-		return &Failure{Execution: Unknown, Reason: reason, Cause: cause}
-	case reason != ReasonRequest:
+	switch nothingWritten := x.conn.nothingWritten(); {
+	case !nothingWritten && reason == ReasonBadRequest:
+		return &Failure{Execution: PossiblyExecuted, Reason: ReasonBroken, Cause: cause}
+	case !nothingWritten:
+		return &Failure{Execution: PossiblyExecuted, Reason: reason, Cause: cause}
+	case reason != ReasonBadRequest:
 		reason = ReasonUnreachable
 	}
-	// Nothing was written, and nothing will be since the connection is closed.
+	// Nothing was written, and nothing will be, since the connection is closed.
 	return &Failure{Execution: NotExecuted, Reason: reason, Cause: cause}
 }
 
-// abandon closes the connection as the reader.
+// abandon closes the connection and releases the reader's reference to it.
 func (x *exchange) abandon() {
 	x.pool.drop(x.conn)
 	x.done(false)
 }
 
-// finish is called when the response is complete. The last bytes of a request
-// whose body has ended are still written after its context has ended.
-func (x *exchange) finish(limit time.Duration) {
+// finish is called when the response is complete. If the body has been read to
+// its end but not written yet, the end of the request's context no longer
+// closes the connection, and the rest is written within flushTimeout.
+func (x *exchange) finish(timeout time.Duration) {
 	now := time.Now()
-	x.conn.expires = now.Add(limit)
-	if x.out.source != nil && x.out.source.ended.Load() && !x.sent.Load() {
-		x.timed = true
-		_ = x.conn.SetWriteDeadline(now.Add(flushWait))
+	x.conn.expires = now.Add(timeout)
+	if x.out.streamed != nil && x.out.streamed.eof.Load() && !x.sent.Load() {
+		x.deadlineSet = true
+		_ = x.conn.SetWriteDeadline(now.Add(flushTimeout))
 		x.detached = x.stop()
 	}
 	x.done(true)
 }
 
-// done is called once by the reader and by the sender, if there is one. The last
-// one keeps the connection or closes it.
+// done is called once by the reader and once by the sender of a streamed body.
+// The last call returns the connection to the pool or closes it.
 func (x *exchange) done(clean bool) {
 	if !clean {
-		x.spoiled.Store(true)
+		x.mustClose.Store(true)
 	}
-	if x.parts.Add(-1) > 0 {
+	if x.refs.Add(-1) > 0 {
 		return
 	}
 	attached := x.stop() || x.detached
 	c := x.conn
-	if !attached || x.spoiled.Load() || c.reader.Buffered() > 0 {
+	if !attached || x.mustClose.Load() || c.reader.Buffered() > 0 {
 		x.pool.drop(c)
 		return
 	}
-	if x.timed {
+	if x.deadlineSet {
 		_ = c.SetDeadline(time.Time{})
 	}
-	if x.out.source != nil {
-		x.patience(userTimeout)
+	if x.out.streamed != nil {
+		x.setUserTimeout(userTimeout)
 	}
-	x.pool.give(time.Now(), c)
+	x.pool.put(time.Now(), c)
 }
 
-// body is the body of a response. Its end frees the connection.
-type body struct {
+// responseBody is the body of a response. Its end releases the connection.
+type responseBody struct {
 	io.Reader
-	exchange *exchange
-	limit    time.Duration
-	// unframed says that the body ends with the connection.
-	unframed bool
-	ended    atomic.Bool
-	err      error
+	exchange    *exchange
+	idleTimeout time.Duration
+	// closeDelimited is set if the body ends with the connection.
+	closeDelimited bool
+	ended          atomic.Bool
+	err            error
 }
 
 // Read implements io.Reader. It returns io.EOF only at the end of a complete
 // body.
-func (b *body) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
 	}
@@ -275,7 +280,7 @@
 	if err == nil {
 		return n, nil
 	}
-	if err == io.EOF && b.unframed && !b.exchange.whole() {
+	if err == io.EOF && b.closeDelimited && !b.exchange.endedCleanly() {
 		err = io.ErrUnexpectedEOF
 	}
 	b.err = err
@@ -283,25 +288,26 @@
 	return n, err
 }
 
-// whole reports whether a body that ended with the connection is complete. A
-// reset is an error of the read, unless a write got that error first.
-func (x *exchange) whole() bool {
-	return x.sent.Load() || x.conn.raw != nil && finished(x.conn.raw)
+// endedCleanly reports whether a body that ended with the connection is
+// complete. A read returns an error after a reset, unless a concurrent write
+// got that error first.
+func (x *exchange) endedCleanly() bool {
+	return x.sent.Load() || x.conn.raw != nil && receivedFIN(x.conn.raw)
 }
 
-// Close implements io.Closer. A response that was not read to its end closes
-// the connection.
-func (b *body) Close() error {
+// Close implements io.Closer. It closes the connection if the body was not read
+// to its end.
+func (b *responseBody) Close() error {
 	b.end(false)
 	return nil
 }
 
-func (b *body) end(complete bool) {
+func (b *responseBody) end(complete bool) {
 	if b.ended.Swap(true) {
 		return
 	}
 	if complete {
-		b.exchange.finish(b.limit)
+		b.exchange.finish(b.idleTimeout)
 	} else {
 		b.exchange.abandon()
 	}
--- a/node/requester/failure.go
+++ b/node/requester/failure.go
@@ -1,42 +1,43 @@
 package requester
 
-// Execution says whether a request that failed has run at the upstream.
+// Execution tells whether the upstream executed a request that failed.
 type Execution string
 
 // Values of Execution.
 const (
-	// NotExecuted means that the request has not run and will not.
+	// NotExecuted means that the request was not executed and will not be.
 	NotExecuted Execution = "no"
-	// Unknown means that it may have run.
-	Unknown Execution = "unknown"
+	// PossiblyExecuted means that the request may have been executed.
+	PossiblyExecuted Execution = "unknown"
 )
 
 // Values of Failure.Reason.
 const (
-	// ReasonRequest is a request that can't be written.
-	ReasonRequest = "bad-request"
+	// ReasonBadRequest means that the request can't be written.
+	ReasonBadRequest = "bad-request"
 	// ReasonUnreachable means that no connection could be opened, or that nothing
-	// was written to the one that was.
+	// could be written to an open one.
 	ReasonUnreachable = "upstream-unreachable"
-	// ReasonFull means that all connections are in use.
-	ReasonFull = "connections-full"
-	// ReasonRejected means that the upstream says that it did not run the request.
+	// ReasonConnectionsFull means that all connections are in use.
+	ReasonConnectionsFull = "connections-full"
+	// ReasonRejected means that the upstream reported that it did not execute the
+	// request.
 	ReasonRejected = "rejected"
 	// ReasonMisdirected means that another instance answers at the address.
 	ReasonMisdirected = "misdirected"
-	// ReasonBroken means that the connection ended, or carried no HTTP.
+	// ReasonBroken means that the connection ended or did not carry HTTP.
 	ReasonBroken = "upstream-broken"
-	// ReasonUnsigned is a response without signature.
+	// ReasonUnsigned means that the response has no signature.
 	ReasonUnsigned = "response-unsigned"
-	// ReasonUnidentified is a response without the id of its request.
+	// ReasonUnidentified means that the response lacks the ID of its request.
 	ReasonUnidentified = "response-unidentified"
 )
 
-// Failure is the end of a request without a response.
+// Failure is the error of a request that got no valid response.
 type Failure struct {
 	Execution Execution
 	Reason    string
-	// Cause is the error behind it, or nil.
+	// Cause is the underlying error, or nil.
 	Cause error
 }
 
@@ -49,5 +50,5 @@
 	return text
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (f *Failure) Unwrap() error { return f.Cause }
--- a/node/requester/idle.go
+++ b/node/requester/idle.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// defaultIdle is how long a connection is kept if the upstream states nothing.
-const defaultIdle = 90 * time.Second
+// defaultIdleTimeout applies if the upstream advertises no timeout.
+const defaultIdleTimeout = 90 * time.Second
 
-// idle returns how long a connection may wait for its next request. Less than
-// the upstream states, since a request that crosses the close of a connection
-// may or may not have run.
-func idle(header http.Header) time.Duration {
-	limit := defaultIdle
+// idleTimeout returns how long a connection may stay idle. It is shorter than
+// the Keep-Alive timeout that the upstream advertises: a request sent while the
+// upstream closes the connection may or may not be executed.
+func idleTimeout(header http.Header) time.Duration {
+	timeout := defaultIdleTimeout
 	for _, line := range header["Keep-Alive"] {
 		for part := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(part, "=")
@@ -22,10 +22,10 @@
 				continue
 			}
 			if seconds, err := strconv.ParseUint(strings.Trim(value, " \t\""), 10, 31); err == nil {
-				stated := time.Duration(seconds) * time.Second
-				limit = min(limit, stated-max(500*time.Millisecond, stated/5))
+				advertised := time.Duration(seconds) * time.Second
+				timeout = min(timeout, advertised-max(500*time.Millisecond, advertised/5))
 			}
 		}
 	}
-	return max(0, limit)
+	return max(0, timeout)
 }
--- a/node/requester/pool.go
+++ b/node/requester/pool.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// sweepLeast is the shortest time between two sweeps.
-const sweepLeast = 500 * time.Millisecond
+// minSweepInterval is the minimum time between two sweeps.
+const minSweepInterval = 500 * time.Millisecond
 
-// pool counts the open connections and keeps those that carry no request. The
-// one used last is taken first, so that those which nobody needs expire.
+// pool counts the open connections and holds the idle ones. The most recently
+// used connection is taken first, so that surplus ones expire.
 type pool struct {
-	mutex  sync.Mutex
-	most   int
-	open   int
-	kept   []*conn
-	closed bool
-	// timer runs sweep at due, unless due is zero.
-	timer *time.Timer
-	due   time.Time
+	mutex   sync.Mutex
+	maxOpen int
+	open    int
+	idle    []*conn
+	closed  bool
+	// timer runs sweep at nextSweep, unless that is zero.
+	timer     *time.Timer
+	nextSweep time.Time
 }
 
-// take returns a kept connection, or nil after counting a new one. The reason
-// is empty unless there is neither.
-func (p *pool) take() (*conn, string) {
+// get returns an idle connection, or nil after reserving a slot for a new one.
+// If neither is available, it returns the reason.
+func (p *pool) get() (*conn, string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return nil, ReasonUnreachable
 	}
-	if last := len(p.kept) - 1; last >= 0 {
-		c := p.kept[last]
-		p.kept[last] = nil
-		p.kept = p.kept[:last]
+	if last := len(p.idle) - 1; last >= 0 {
+		c := p.idle[last]
+		p.idle[last] = nil
+		p.idle = p.idle[:last]
 		return c, ""
 	}
-	if p.open >= p.most {
-		return nil, ReasonFull
+	if p.open >= p.maxOpen {
+		return nil, ReasonConnectionsFull
 	}
 	p.open++
 	return nil, ""
 }
 
-// give keeps a connection until it expires.
-func (p *pool) give(now time.Time, c *conn) {
+// put keeps an idle connection until it expires.
+func (p *pool) put(now time.Time, c *conn) {
 	p.mutex.Lock()
 	closed := p.closed
 	if !closed {
-		c.kept = true
-		p.kept = append(p.kept, c)
-		p.arm(now, c.expires)
+		c.reused = true
+		p.idle = append(p.idle, c)
+		p.scheduleSweep(now, c.expires)
 	}
 	p.mutex.Unlock()
 	if closed {
@@ -57,13 +57,13 @@
 	}
 }
 
-// arm has the next sweep run when the first connection expires.
-func (p *pool) arm(now, expires time.Time) {
-	if !p.due.IsZero() && !expires.Before(p.due) {
+// scheduleSweep sets the timer to the expiry of the first connection.
+func (p *pool) scheduleSweep(now, expires time.Time) {
+	if !p.nextSweep.IsZero() && !expires.Before(p.nextSweep) {
 		return
 	}
-	wait := max(sweepLeast, expires.Sub(now))
-	p.due = now.Add(wait)
+	wait := max(minSweepInterval, expires.Sub(now))
+	p.nextSweep = now.Add(wait)
 	if p.timer == nil {
 		p.timer = time.AfterFunc(wait, func() { p.sweep(time.Now()) })
 		return
@@ -71,51 +71,51 @@
 	p.timer.Reset(wait)
 }
 
-// sweep closes the kept connections that have expired.
+// sweep closes the idle connections that have expired.
 func (p *pool) sweep(now time.Time) {
 	p.mutex.Lock()
 	var expired []*conn
-	valid := p.kept[:0]
-	p.due = time.Time{}
-	for _, c := range p.kept {
+	unexpired := p.idle[:0]
+	p.nextSweep = time.Time{}
+	for _, c := range p.idle {
 		if now.Before(c.expires) {
-			valid = append(valid, c)
-			p.arm(now, c.expires)
+			unexpired = append(unexpired, c)
+			p.scheduleSweep(now, c.expires)
 		} else {
 			expired = append(expired, c)
 		}
 	}
-	clear(p.kept[len(valid):])
-	p.kept = valid
+	clear(p.idle[len(unexpired):])
+	p.idle = unexpired
 	p.mutex.Unlock()
 	for _, c := range expired {
 		p.drop(c)
 	}
 }
 
-// close closes the kept connections and the pool.
+// close closes the idle connections and rejects further requests.
 func (p *pool) close() {
 	p.mutex.Lock()
-	kept := p.kept
-	p.kept = nil
+	idle := p.idle
+	p.idle = nil
 	p.closed = true
 	p.mutex.Unlock()
-	for _, c := range kept {
+	for _, c := range idle {
 		p.drop(c)
 	}
 }
 
-// drop closes a connection. It may be called again, and returns when the
-// connection is closed.
+// drop closes a connection and releases its slot. It may be called repeatedly,
+// and returns only once the connection is closed.
 func (p *pool) drop(c *conn) {
-	c.dropped.Do(func() {
+	c.closeOnce.Do(func() {
 		_ = c.Close()
-		p.release()
+		p.releaseSlot()
 	})
 }
 
-// release counts a connection as closed.
-func (p *pool) release() {
+// releaseSlot stops counting a connection as open.
+func (p *pool) releaseSlot() {
 	p.mutex.Lock()
 	p.open--
 	p.mutex.Unlock()
--- a/node/requester/requester.go
+++ b/node/requester/requester.go
@@ -1,6 +1,7 @@
 // Package requester sends requests to the upstream beside the node over
-// connections that it keeps, checks whose response arrives, and says of each
-// request without a response whether it may have run.
+// persistent connections. It verifies that a response belongs to its request,
+// and reports for each request without a response whether the upstream may have
+// executed it.
 package requester
 
 import (
@@ -14,25 +15,25 @@
 )
 
 const (
-	// headBytes bounds the head of a response.
-	headBytes = 64 << 10
-	// bufferBytes is the size of the buffers of a connection. A head with a small
-	// body takes one write.
+	// maxHeaderBytes is the maximum size of a response header.
+	maxHeaderBytes = 64 << 10
+	// bufferBytes is the size of the read and write buffers of a connection. A
+	// header with a small body takes a single write.
 	bufferBytes = 4 << 10
-	// wholeBytes bounds the bodies that are written before the response is read.
-	// The operating system takes that much from the calling goroutine although
-	// the upstream reads nothing.
-	wholeBytes = 32 << 10
-	// dialWait bounds the time for a connection to the upstream, which runs on the
+	// maxBufferedBodyBytes is the maximum size of a body that is written
+	// completely before the response is read. The socket buffers hold that much
+	// without blocking the caller, even if the upstream reads nothing.
+	maxBufferedBodyBytes = 32 << 10
+	// dialTimeout limits the time to connect to the upstream, which runs on the
 	// same instance.
-	dialWait = 2 * time.Second
+	dialTimeout = 2 * time.Second
 )
 
-// Requester is an http.RoundTripper to one upstream. It sends no request a
-// second time once a part of it was written. A response that is returned must be
-// read to its end or closed.
+// Requester is an http.RoundTripper for a single upstream. It never resends a
+// request of which any part was written. Callers must read a returned response
+// to its end or close it.
 type Requester struct {
-	// Contract is set before the first request.
+	// Contract must be set before the first request.
 	Contract Contract
 	// Dial opens a connection to the upstream. It may be replaced before the first
 	// request.
@@ -41,80 +42,82 @@
 	pool pool
 }
 
-// New returns a requester to the upstream at address that has at most
-// connections open.
+// New returns a requester for the upstream at address that opens at most the
+// given number of connections.
 func New(address netip.AddrPort, connections int) *Requester {
-	dialer := &net.Dialer{Timeout: dialWait, KeepAliveConfig: probes, Control: bound}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: controlSocket}
 	return &Requester{
 		Dial: func(ctx context.Context) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address.String())
 		},
-		pool: pool{most: connections},
+		pool: pool{maxOpen: connections},
 	}
 }
 
-// Close closes the kept connections and refuses further requests. Requests in
+// Close closes the idle connections and rejects further requests. Requests in
 // flight keep their connections.
 func (r *Requester) Close() { r.pool.close() }
 
 // RoundTrip implements http.RoundTripper. Its errors are of type *Failure.
 func (r *Requester) RoundTrip(request *http.Request) (*http.Response, error) {
-	out, failed := prepare(request)
-	for failed == nil {
+	out, failure := prepare(request)
+	for failure == nil {
 		var conn *conn
-		if conn, failed = r.connect(request.Context()); failed != nil {
+		if conn, failure = r.connect(request.Context()); failure != nil {
 			break
 		}
 		x := &exchange{pool: &r.pool, contract: &r.Contract, conn: conn, out: out}
 		var response *http.Response
-		if response, failed = x.run(request.Context()); failed == nil {
+		if response, failure = x.run(request.Context()); failure == nil {
 			response.Request = request
 			return response, nil
 		}
-		if failed.Reason != ReasonUnreachable || !conn.kept || request.Context().Err() != nil || !out.rewind() {
-			return nil, failed
+		if failure.Reason != ReasonUnreachable || !conn.reused || request.Context().Err() != nil || !out.rewind() {
+			return nil, failure
 		}
-		// The upstream closed a kept connection, and nothing was written to it.
-		failed = nil
+		// The upstream closed a reused connection, and nothing was written to it.
+		failure = nil
 	}
 	if request.Body != nil {
 		_ = request.Body.Close()
 	}
-	return nil, failed
+	return nil, failure
 }
 
-// connect returns the connection that was kept last and is still open, or a new
-// one.
+// connect returns the most recently used idle connection that is still open, or
+// a new one.
 func (r *Requester) connect(ctx context.Context) (*conn, *Failure) {
 	for {
-		kept, reason := r.pool.take()
+		idle, reason := r.pool.get()
 		switch {
 		case reason != "":
 			return nil, &Failure{Execution: NotExecuted, Reason: reason}
-		case kept == nil:
-			fresh, err := r.Dial(ctx)
+		case idle == nil:
+			netConn, err := r.Dial(ctx)
 			if err != nil {
-				r.pool.release()
+				r.pool.releaseSlot()
 				return nil, &Failure{Execution: NotExecuted, Reason: ReasonUnreachable, Cause: err}
 			}
-			return newConn(fresh), nil
-		case time.Now().Before(kept.expires) && silent(kept.raw):
-			return kept, nil
+			return newConn(netConn), nil
+		case time.Now().Before(idle.expires) && reusable(idle.raw):
+			return idle, nil
 		}
-		r.pool.drop(kept)
+		r.pool.drop(idle)
 	}
 }
 
-// outgoing is a request in the form in which it is written.
+// outgoing is a request that is ready to be written.
 type outgoing struct {
 	*http.Request
-	// source is the body if it is written while the response is read.
-	source *source
+	// streamed is the body if it is written while the response is read, otherwise
+	// nil.
+	streamed *streamedBody
 }
 
-// rewind makes the body readable once more, if it can.
+// rewind restores the body for another attempt and reports whether that was
+// possible.
 func (o *outgoing) rewind() bool {
-	if o.source != nil {
+	if o.streamed != nil {
 		return false
 	}
 	if o.GetBody == nil {
@@ -125,51 +128,54 @@
 	return err == nil
 }
 
-// prepare checks the request. A body that GetBody can make again is in memory
-// and written at once if it is small, all others are streams.
+// prepare validates the request. A small body that GetBody can recreate is in
+// memory and is written before the response is read; all other bodies are
+// streamed.
 func prepare(request *http.Request) (*outgoing, *Failure) {
-	if err := valid(request); err != nil {
-		return nil, &Failure{Execution: NotExecuted, Reason: ReasonRequest, Cause: err}
+	if err := validate(request); err != nil {
+		return nil, &Failure{Execution: NotExecuted, Reason: ReasonBadRequest, Cause: err}
 	}
 	out := &outgoing{Request: request.WithContext(context.Background())}
 	length := request.ContentLength
 	switch {
 	case request.Body == nil || request.Body == http.NoBody:
-	case length > 0 && length <= wholeBytes && request.GetBody != nil:
+	case length > 0 && length <= maxBufferedBodyBytes && request.GetBody != nil:
 	default:
-		out.source = &source{ReadCloser: request.Body, left: length}
+		out.streamed = &streamedBody{ReadCloser: request.Body, remaining: length}
 		if length <= 0 {
-			// Keeps net/http from waiting for the first byte before the head.
-			out.source.left, out.ContentLength, out.TransferEncoding = -1, -1, []string{"chunked"}
+			// Prevents net/http from reading the first byte of the body before it writes
+			// the header.
+			out.streamed.remaining, out.ContentLength, out.TransferEncoding = -1, -1, []string{"chunked"}
 		}
-		out.Body = out.source
+		out.Body = out.streamed
 	}
 	return out, nil
 }
 
-// source is a body that is written while the response is read.
-type source struct {
+// streamedBody is a request body that is written while the response is read.
+type streamedBody struct {
 	io.ReadCloser
-	// left is what is missing of a body with a length, otherwise negative. More
-	// is not read: net/http asks for no more.
-	left  int64
-	ended atomic.Bool
+	// remaining is the number of unread bytes of a body with a Content-Length, and
+	// negative for other bodies. Bytes beyond the length are never read, since
+	// net/http does not ask for them.
+	remaining int64
+	eof       atomic.Bool
 }
 
-// Read implements io.Reader. A body with a length ends with its last byte,
-// since for the upstream the request is complete then.
-func (s *source) Read(p []byte) (int, error) {
-	if s.left == 0 {
+// Read implements io.Reader. A body with a Content-Length ends with its last
+// byte, since the request is complete for the upstream then.
+func (s *streamedBody) Read(p []byte) (int, error) {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
 	n, err := s.ReadCloser.Read(p)
-	if s.left > 0 {
-		if s.left -= int64(n); s.left == 0 {
+	if s.remaining > 0 {
+		if s.remaining -= int64(n); s.remaining == 0 {
 			err = io.EOF
 		}
 	}
 	if err == io.EOF {
-		s.ended.Store(true)
+		s.eof.Store(true)
 	}
 	return n, err
 }
--- a/node/requester/socket_linux.go
+++ b/node/requester/socket_linux.go
@@ -7,31 +7,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// bound sets the limits of a new connection.
-func bound(_, _ string, raw syscall.RawConn) error {
-	confirm(raw, userTimeout)
+// controlSocket sets the user timeout of a new connection.
+func controlSocket(_, _ string, raw syscall.RawConn) error {
+	setUserTimeout(raw, userTimeout)
 	return nil
 }
 
-// confirm bounds the time for which the upstream's system confirms nothing;
-// zero leaves that to the system.
-func confirm(raw syscall.RawConn, limit time.Duration) {
+// setUserTimeout limits how long written data may stay unacknowledged. Zero
+// means the default of the operating system.
+func setUserTimeout(raw syscall.RawConn, timeout time.Duration) {
 	_ = raw.Control(func(fd uintptr) {
-		// Without it a silent connection only lives longer.
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
+		// An error is ignored: a dead connection is only detected later.
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 }
 
-// closeWait is TCP_CLOSE_WAIT of linux/tcp_states.h.
-const closeWait = 8
+// tcpCloseWait is TCP_CLOSE_WAIT of linux/tcp_states.h.
+const tcpCloseWait = 8
 
-// finished reports whether the upstream closed the connection and did not reset
-// it.
-func finished(raw syscall.RawConn) bool {
+// receivedFIN reports whether the upstream closed the connection without a
+// reset.
+func receivedFIN(raw syscall.RawConn) bool {
 	clean := false
 	err := raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		clean = err == nil && info.State == closeWait
+		clean = err == nil && info.State == tcpCloseWait
 	})
 	return err == nil && clean
 }
--- a/node/requester/socket_other.go
+++ b/node/requester/socket_other.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-func bound(_, _ string, _ syscall.RawConn) error { return nil }
+func controlSocket(_, _ string, _ syscall.RawConn) error { return nil }
 
-func confirm(syscall.RawConn, time.Duration) {}
+func setUserTimeout(syscall.RawConn, time.Duration) {}
 
-// finished reports that it is not known that the upstream closed the connection.
-func finished(syscall.RawConn) bool { return false }
+// receivedFIN always returns false, since the TCP state is not available on this
+// platform.
+func receivedFIN(syscall.RawConn) bool { return false }
--- a/node/requester/valid.go
+++ b/node/requester/valid.go
@@ -7,22 +7,22 @@
 	"github.com/pkg/errors"
 )
 
-// valid checks what http.Request.Write writes as it is.
-func valid(request *http.Request) error {
+// validate checks the parts of a request that http.Request.Write writes verbatim.
+func validate(request *http.Request) error {
 	if request.URL == nil {
-		return errors.New("no URL")
+		return errors.New("request has no URL")
 	}
-	if request.Method != "" && !token(request.Method) {
-		return errors.Errorf("method %q", request.Method)
+	if request.Method != "" && !isToken(request.Method) {
+		return errors.Errorf("invalid method %q", request.Method)
 	}
 	for _, header := range [...]http.Header{request.Header, request.Trailer} {
 		for name, values := range header {
-			if !token(name) {
-				return errors.Errorf("header name %q", name)
+			if !isToken(name) {
+				return errors.Errorf("invalid header name %q", name)
 			}
 			for _, value := range values {
-				if strings.ContainsFunc(value, control) {
-					return errors.Errorf("value of header %s", name)
+				if strings.ContainsFunc(value, isControl) {
+					return errors.Errorf("invalid character in the value of header %s", name)
 				}
 			}
 		}
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// token reports whether text is a token of RFC 9110.
-func token(text string) bool {
+// isToken reports whether text is a token as defined by RFC 9110.
+func isToken(text string) bool {
 	for _, c := range []byte(text) {
 		letter := 'a' <= c|0x20 && c|0x20 <= 'z'
 		if !letter && (c < '0' || c > '9') && !strings.ContainsRune("!#$%&'*+-.^_`|~", rune(c)) {
@@ -41,5 +41,5 @@
 	return text != ""
 }
 
-// control reports whether a header's value can't have r.
-func control(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
+// isControl reports whether r is not allowed in a header value.
+func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
