--- a/node/listener/conn.go
+++ b/node/listener/conn.go
@@ -14,115 +14,118 @@
 )
 
 const (
-	// slackBytes is what net/http reads beyond a header: its buffer, in which
-	// the beginning of the body may be.
-	slackBytes = 4 << 10
-	// lookTime is the time after a limit in which bytes that are there are still
-	// read. After a suspension of the process both the limit has passed and the
-	// request has arrived.
-	lookTime = 20 * time.Millisecond
-	// refuseTime bounds the writing of a refusal, and the time for which the
-	// caller's bytes are read after it. Closing at once would reset the
-	// connection, and a caller that still sends would not see the response.
-	refuseTime = 500 * time.Millisecond
-	// refuseBytes bounds the bytes that are read after a refusal. The systems of
-	// both sides take a few MB more.
-	refuseBytes = 4 << 20
+	// readAheadBytes is how much net/http may read beyond a header: its buffer may
+	// hold the beginning of the body.
+	readAheadBytes = 4 << 10
+	// lateReadGrace is the time after a deadline in which available data is still
+	// read. If the process was suspended, the request may have arrived although
+	// the deadline has passed.
+	lateReadGrace = 20 * time.Millisecond
+	// rejectTimeout limits the time to write an error response, and the time to
+	// read the caller's remaining data after it. Closing at once would reset the
+	// connection, and a caller that is still sending would lose the response.
+	rejectTimeout = 500 * time.Millisecond
+	// maxDiscardBytes limits how much is read after an error response. The socket
+	// buffers of both sides hold a few MB more.
+	maxDiscardBytes = 4 << 20
 )
 
-// phase is what a connection is used for.
+// phase is the state of a connection in the sequence of requests.
 type phase int
 
 const (
-	// reading: the first bytes or the rest of a header are awaited.
-	reading phase = iota
-	// serving: the header is complete, and the handler decides on the time.
+	// readingHeader lasts until the header of a request is complete.
+	readingHeader phase = iota
+	// serving lasts until the response is complete. The handler limits its time.
 	serving
-	// resting: the response is complete, and there is no further request.
-	resting
+	// idle lasts from the end of a response to the next request.
+	idle
 )
 
-var errRefused = errors.New("the header is beyond the limits")
+var errHeaderRejected = errors.New("request header exceeds the size or time limit")
 
-// conn is a caller's connection. In the phases reading and resting its read
-// deadline is set here, and what net/http sets is ignored.
+// conn is a caller's connection. In the phases readingHeader and idle it sets
+// the read deadline itself and ignores the one that net/http sets.
 type conn struct {
 	net.Conn
 	listener *Listener
 
 	mutex sync.Mutex
 	phase phase
-	// began is when the phase began, ends when its time is over; zero means
-	// never.
-	began, ends time.Time
-	// told is the idle time in force when the last request began, which its caller
-	// may have been told.
-	told sycamorerun.Duration
-	// looked says that lookTime was granted.
-	looked bool
-	// bytes counts those of the header, and of a body behind it in one read.
-	bytes int
-	// fresh says that there was no request before, first has its first bytes.
-	fresh bool
-	first [4]byte
-	// http2 says that the connection carries frames of HTTP/2. Requests begin
-	// and end within them, so that only the time without any is limited here.
-	http2   bool
-	refused error
-	// handled says that the request has reached the handler.
+	// phaseStart is when the phase began, deadline when it must end. A zero
+	// deadline means no limit.
+	phaseStart, deadline time.Time
+	// advertisedIdle is the idle time in force when the last request began. It may
+	// have been advertised to the caller.
+	advertisedIdle sycamorerun.Duration
+	// graceGranted is set once lateReadGrace was added to the deadline.
+	graceGranted bool
+	// headerBytes counts the bytes of the header, and of a body that arrives in
+	// the same read.
+	headerBytes int
+	// firstRequest is set until the header of the first request is complete.
+	// prefix holds the first bytes of that header.
+	firstRequest bool
+	prefix       [4]byte
+	// http2 is set if the connection carries HTTP/2 frames. Requests begin and end
+	// within these, so only the time without any request is limited here.
+	http2     bool
+	rejectErr error
+	// handled is set once the request has reached the handler.
 	handled atomic.Bool
 }
 
-// enter begins a phase.
-func (c *conn) enter(now time.Time, next phase, limits sycamorerun.Limits) {
+// enterPhase begins a phase and sets its deadline.
+func (c *conn) enterPhase(now time.Time, next phase, limits sycamorerun.Limits) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.fresh = c.fresh && next == reading
+	c.firstRequest = c.firstRequest && next == readingHeader
 	c.handled.Store(false)
 	switch {
 	case next == serving:
-		c.told = limits.Idle
-	case next == resting && limits.Idle > 0 && c.told > 0:
-		limits.Idle = max(limits.Idle, c.told)
-	case next == resting:
+		c.advertisedIdle = limits.Idle
+	case next == idle && limits.Idle > 0 && c.advertisedIdle > 0:
+		limits.Idle = max(limits.Idle, c.advertisedIdle)
+	case next == idle:
 		limits.Idle = 0
 	}
-	c.phase, c.began, c.ends, c.looked, c.bytes = next, now, time.Time{}, false, 0
-	if allowed := c.allowed(limits); allowed > 0 {
-		c.ends = now.Add(allowed)
+	c.phase, c.phaseStart, c.deadline, c.graceGranted, c.headerBytes = next, now, time.Time{}, false, 0
+	if timeout := c.phaseTimeout(limits); timeout > 0 {
+		c.deadline = now.Add(timeout)
 	}
-	_ = c.Conn.SetReadDeadline(c.ends)
+	_ = c.Conn.SetReadDeadline(c.deadline)
 }
 
-// allowed returns the time for the phase, zero meaning any.
-func (c *conn) allowed(limits sycamorerun.Limits) time.Duration {
+// phaseTimeout returns the time limit of the phase, zero for none.
+func (c *conn) phaseTimeout(limits sycamorerun.Limits) time.Duration {
 	switch c.phase {
-	case reading:
+	case readingHeader:
 		return time.Duration(limits.Wait)
-	case resting:
+	case idle:
 		return time.Duration(limits.Idle)
 	}
 	return 0
 }
 
-// extend gives the phase more time if the limits do.
-func (c *conn) extend(limits sycamorerun.Limits) {
+// extendDeadline moves the deadline of the phase if the limits allow more time.
+func (c *conn) extendDeadline(limits sycamorerun.Limits) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.ends.IsZero() {
+	if c.deadline.IsZero() {
 		return
 	}
-	var ends time.Time
-	if allowed := c.allowed(limits); allowed > 0 {
-		ends = c.began.Add(allowed)
+	var deadline time.Time
+	if timeout := c.phaseTimeout(limits); timeout > 0 {
+		deadline = c.phaseStart.Add(timeout)
 	}
-	if ends.IsZero() || ends.After(c.ends) {
-		c.ends, c.looked = ends, false
-		_ = c.Conn.SetReadDeadline(ends)
+	if deadline.IsZero() || deadline.After(c.deadline) {
+		c.deadline, c.graceGranted = deadline, false
+		_ = c.Conn.SetReadDeadline(deadline)
 	}
 }
 
-// SetReadDeadline implements net.Conn.
+// SetReadDeadline implements net.Conn. It has an effect only while HTTP/1
+// requests are served.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -132,115 +135,118 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn and rejects headers that exceed the limits.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		status, again := c.judge(time.Now(), p[:n], err)
+		status, again := c.checkRead(time.Now(), p[:n], err)
 		switch {
 		case again:
 		case status != 0:
-			return 0, c.refuse(status)
+			return 0, c.reject(status)
 		default:
 			return n, err
 		}
 	}
 }
 
-// judge decides on the result of a read: whether to read again, or to refuse the
-// request with a status.
-func (c *conn) judge(now time.Time, data []byte, err error) (status int, again bool) {
+// checkRead decides on the result of a read: whether to read again, or to
+// reject the request with a status.
+func (c *conn) checkRead(now time.Time, data []byte, err error) (status int, again bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var failed net.Error
-	late := len(data) == 0 && errors.As(err, &failed) && failed.Timeout()
+	var netErr net.Error
+	timedOut := len(data) == 0 && errors.As(err, &netErr) && netErr.Timeout()
 	switch {
 	case c.phase == serving:
-		// A read of HTTP/2 frames goes on while requests begin and end.
-		return 0, late && c.http2
-	case late && c.refused == nil && (c.ends.IsZero() || now.Before(c.ends)):
-		return 0, true // the limits have changed meanwhile
-	case late && c.refused == nil && !c.looked:
-		c.looked = true
-		_ = c.Conn.SetReadDeadline(now.Add(lookTime))
+		// A read of HTTP/2 frames continues while requests begin and end.
+		return 0, timedOut && c.http2
+	case timedOut && c.rejectErr == nil && (c.deadline.IsZero() || now.Before(c.deadline)):
+		return 0, true // the limits have changed in the meantime
+	case timedOut && c.rejectErr == nil && !c.graceGranted:
+		c.graceGranted = true
+		_ = c.Conn.SetReadDeadline(now.Add(lateReadGrace))
 		return 0, true
-	case c.refused != nil || c.http2:
+	case c.rejectErr != nil || c.http2:
 		return 0, false
-	case late && c.phase == reading && c.bytes > 0:
+	case timedOut && c.phase == readingHeader && c.headerBytes > 0:
 		return http.StatusRequestTimeout, false
 	case len(data) > 0:
-		return c.header(now, data), false
+		return c.countHeader(now, data), false
 	}
 	return 0, false
 }
 
-// header counts the bytes of a header, the first of which end the time of rest.
-func (c *conn) header(now time.Time, data []byte) (status int) {
+// countHeader counts the bytes of a header. Its first bytes end the idle phase.
+func (c *conn) countHeader(now time.Time, data []byte) (status int) {
 	limits := *c.listener.limits.Load()
-	if c.phase == resting {
-		c.phase, c.began, c.ends, c.looked, c.bytes = reading, now, time.Time{}, false, 0
-		if allowed := c.allowed(limits); allowed > 0 {
-			c.ends = now.Add(allowed)
+	if c.phase == idle {
+		c.phase, c.phaseStart, c.deadline, c.graceGranted, c.headerBytes = readingHeader, now, time.Time{}, false, 0
+		if timeout := c.phaseTimeout(limits); timeout > 0 {
+			c.deadline = now.Add(timeout)
 		}
-		_ = c.Conn.SetReadDeadline(c.ends)
+		_ = c.Conn.SetReadDeadline(c.deadline)
 	}
-	if c.fresh && c.bytes < len(c.first) {
-		copy(c.first[c.bytes:], data)
-		c.http2 = string(c.first[:]) == "PRI "
+	if c.firstRequest && c.headerBytes < len(c.prefix) {
+		copy(c.prefix[c.headerBytes:], data)
+		c.http2 = string(c.prefix[:]) == "PRI "
 	}
-	if c.bytes += len(data); !c.http2 && limits.Header > 0 && c.bytes > limits.Header+slackBytes {
+	if c.headerBytes += len(data); !c.http2 && limits.Header > 0 && c.headerBytes > limits.Header+readAheadBytes {
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	return 0
 }
 
-// refuse sends the response with the status and reads on for a while.
-func (c *conn) refuse(status int) error {
-	// net/http closes a connection without a response after an error of this
-	// type.
-	failed := &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: errRefused}
+// reject sends the error response for the status, then discards further data
+// for up to rejectTimeout.
+func (c *conn) reject(status int) error {
+	// After an error of this type, net/http closes the connection without sending
+	// a response.
+	opErr := &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: errHeaderRejected}
 	c.mutex.Lock()
-	c.refused = failed
+	c.rejectErr = opErr
 	c.mutex.Unlock()
-	limit := time.Now().Add(refuseTime)
-	_ = c.Conn.SetDeadline(limit)
+	deadline := time.Now().Add(rejectTimeout)
+	_ = c.Conn.SetDeadline(deadline)
 	if _, err := c.Conn.Write(c.listener.ErrorResponse(status)); err == nil && c.halfClose() == nil {
 		c.discard()
 	}
 	_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
-	return failed
+	return opErr
 }
 
-// CloseWrite ends the responses. net/http does that half a second before it
-// closes a connection with unread bytes. Some of these are read meanwhile, since
-// many callers look for a response only when they have sent all.
+// CloseWrite shuts down the sending side. net/http calls it half a second
+// before it closes a connection with unread data. Some of that data is read in
+// the meantime, since many callers look for a response only after sending
+// everything.
 func (c *conn) CloseWrite() error {
 	err := c.halfClose()
 	if err == nil {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(refuseTime))
+		_ = c.Conn.SetReadDeadline(time.Now().Add(rejectTimeout))
 		go c.discard()
 	}
 	return err
 }
 
 func (c *conn) halfClose() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
 
-// discard reads what the caller still sends, within bounds.
-func (c *conn) discard() { _, _ = io.CopyN(io.Discard, c.Conn, refuseBytes) }
+// discard reads remaining data of the caller, up to maxDiscardBytes.
+func (c *conn) discard() { _, _ = io.CopyN(io.Discard, c.Conn, maxDiscardBytes) }
 
-// Close implements net.Conn. After its own answer to a malformed request,
-// net/http closes at once, with the rest of the request unread.
+// Close implements net.Conn. After its own response to a malformed request,
+// net/http closes at once and leaves the rest of the request unread. That rest
+// is discarded here before the connection is closed.
 func (c *conn) Close() error {
 	c.listener.remove(c)
-	if !c.rejected() || c.halfClose() != nil {
+	if !c.unhandled() || c.halfClose() != nil {
 		return c.Conn.Close()
 	}
-	_ = c.Conn.SetReadDeadline(time.Now().Add(refuseTime))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(rejectTimeout))
 	go func() {
 		c.discard()
 		_ = c.Conn.Close()
@@ -248,9 +254,9 @@
 	return nil
 }
 
-// rejected reports whether a request was read and did not reach the handler.
-func (c *conn) rejected() bool {
+// unhandled reports whether a request was read but did not reach the handler.
+func (c *conn) unhandled() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.phase == serving && !c.http2 && c.refused == nil && !c.handled.Load()
+	return c.phase == serving && !c.http2 && c.rejectErr == nil && !c.handled.Load()
 }
--- a/node/listener/listener.go
+++ b/node/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener accepts callers' connections and holds them to limits that
-// can change while they are open: the size of a header, the time until it is
-// there, and the time without a request.
+// Package listener accepts callers' connections and enforces limits that can
+// change while connections are open: the size of a header, the time until it is
+// complete, and the idle time.
 package listener
 
 import (
@@ -14,11 +14,13 @@
 	"sycamorerun"
 )
 
-// Listener keeps the limits and the connections that they apply to. An
-// http.Server that Serve has prepared serves On.
+// Listener holds the limits and the connections that they apply to. An
+// http.Server must be set up by Configure and serve a listener returned by
+// Wrap.
 type Listener struct {
-	// ErrorResponse returns the response to a header that is too large (status 431) or
-	// not there in time (408). The connection is closed after it.
+	// ErrorResponse returns the response to a header that is too large (status
+	// 431) or not complete in time (status 408). The connection is closed after
+	// it.
 	ErrorResponse func(status int) []byte
 
 	limits atomic.Pointer[sycamorerun.Limits]
@@ -34,9 +36,9 @@
 }
 
 // SetLimits applies limits to all requests that begin from now on. A zero field
-// means no limit. A connection that is idle already, or whose header is being
-// read, gets more time from longer limits and keeps its time under shorter ones:
-// its caller may have been told of it.
+// means no limit. For a connection that is already idle, or whose header is
+// being read, limits can only extend the deadline: the caller may have been
+// told the earlier idle time.
 func (l *Listener) SetLimits(limits sycamorerun.Limits) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -45,20 +47,21 @@
 	}
 	l.limits.Store(&limits)
 	for c := range l.conns {
-		c.extend(limits)
+		c.extendDeadline(limits)
 	}
 }
 
-// Wrap returns a listener whose connections are those of inner under the limits.
-func (l *Listener) Wrap(inner net.Listener) net.Listener { return &accepting{inner, l} }
+// Wrap returns a listener that applies the limits to the connections of inner.
+func (l *Listener) Wrap(inner net.Listener) net.Listener { return &limitedListener{inner, l} }
 
-// Configure prepares a server, which must have no timeouts of its own: net/http reads
-// them without a lock, so that they can't change while it serves.
+// Configure sets the hooks and the handler of a server. The server must have no
+// timeouts of its own: net/http reads them without a lock, so they can't change
+// while it serves.
 func (l *Listener) Configure(server *http.Server) {
 	next := server.Handler
-	server.ConnState = l.track
-	server.ConnContext = func(ctx context.Context, of net.Conn) context.Context {
-		return context.WithValue(ctx, connKey{}, of)
+	server.ConnState = l.trackState
+	server.ConnContext = func(ctx context.Context, netConn net.Conn) context.Context {
+		return context.WithValue(ctx, connKey{}, netConn)
 	}
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
@@ -70,41 +73,41 @@
 
 type connKey struct{}
 
-// track is the hook ConnState of the server.
-func (l *Listener) track(of net.Conn, state http.ConnState) {
-	c, ok := of.(*conn)
+// trackState is the ConnState hook of the server.
+func (l *Listener) trackState(netConn net.Conn, state http.ConnState) {
+	c, ok := netConn.(*conn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateActive:
-		c.enter(time.Now(), serving, *l.limits.Load())
+		c.enterPhase(time.Now(), serving, *l.limits.Load())
 	case http.StateIdle:
-		c.enter(time.Now(), resting, *l.limits.Load())
+		c.enterPhase(time.Now(), idle, *l.limits.Load())
 	}
 }
 
-// accepting is a net.Listener under the limits of a Listener.
-type accepting struct {
+// limitedListener is a net.Listener that applies the limits of a Listener.
+type limitedListener struct {
 	net.Listener
-	limits *Listener
+	limiter *Listener
 }
 
 // Accept implements net.Listener.
-func (a *accepting) Accept() (net.Conn, error) {
-	inner, err := a.Listener.Accept()
+func (l *limitedListener) Accept() (net.Conn, error) {
+	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return a.limits.add(inner), nil
+	return l.limiter.add(inner), nil
 }
 
 func (l *Listener) add(inner net.Conn) *conn {
-	c := &conn{Conn: inner, listener: l, fresh: true}
+	c := &conn{Conn: inner, listener: l, firstRequest: true}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.conns[c] = struct{}{}
-	c.enter(time.Now(), reading, *l.limits.Load())
+	c.enterPhase(time.Now(), readingHeader, *l.limits.Load())
 	return c
 }
 
--- a/node/listener/listener_test.go
+++ b/node/listener/listener_test.go
@@ -21,53 +21,53 @@
 	l := New()
 	l.ErrorResponse = func(status int) []byte { return fmt.Appendf(nil, "HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n", status) }
 	l.SetLimits(limits)
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	server := &http.Server{Handler: handler, MaxHeaderBytes: 1 << 20, Protocols: new(http.Protocols)}
 	server.Protocols.SetHTTP1(true)
 	server.Protocols.SetUnencryptedHTTP2(true)
 	l.Configure(server)
-	go func() { _ = server.Serve(l.Wrap(plain)) }()
+	go func() { _ = server.Serve(l.Wrap(inner)) }()
 	t.Cleanup(func() {
 		_ = server.Close()
-		l.emptied(t, 5*time.Second)
+		l.waitEmpty(t, 5*time.Second)
 	})
-	return l, plain.Addr().String()
+	return l, inner.Addr().String()
 }
 
-// emptied waits until no connection is known.
-func (l *Listener) emptied(t *testing.T, limit time.Duration) {
-	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
+// waitEmpty waits until no connection is tracked.
+func (l *Listener) waitEmpty(t *testing.T, limit time.Duration) {
+	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		l.mutex.Lock()
 		open := len(l.conns)
 		l.mutex.Unlock()
 		if open == 0 {
 			return
 		}
-		is.New(t).True(time.Since(begun) < limit)
+		is.New(t).True(time.Since(start) < limit)
 	}
 }
 
-// peer is a caller's end of a connection.
-type peer struct {
+// callerConn is the caller's end of a connection.
+type callerConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func dial(t *testing.T, address string) *peer {
+func dial(t *testing.T, address string) *callerConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &peer{c, bufio.NewReader(c)}
+	return &callerConn{c, bufio.NewReader(c)}
 }
 
-// get sends a text and returns the status of the response, zero when the
+// get sends a text and returns the status of the response, or zero if the
 // connection ends without one.
-func (p *peer) get(text string) int {
-	_, _ = io.WriteString(p, text)
-	response, err := http.ReadResponse(p.reader, nil)
+func (c *callerConn) get(text string) int {
+	_, _ = io.WriteString(c, text)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0
 	}
@@ -75,43 +75,42 @@
 	return response.StatusCode
 }
 
-// closed checks that the connection ends after least and before most, not by a
-// reset, which can take a response with it.
-func (p *peer) closed(t *testing.T, least, most time.Duration) {
+// expectClosed checks that the connection ends after minWait and before
+// maxWait, and not by a reset, which could discard a response.
+func (c *callerConn) expectClosed(t *testing.T, minWait, maxWait time.Duration) {
 	t.Helper()
-	is, begun := is.New(t), time.Now()
-	_, err := p.reader.ReadByte()
+	is, start := is.New(t), time.Now()
+	_, err := c.reader.ReadByte()
 	is.Equal(err, io.EOF)
-	is.True(time.Since(begun) >= least)
-	is.True(time.Since(begun) < most)
+	is.True(time.Since(start) >= minWait)
+	is.True(time.Since(start) < maxWait)
 }
 
-func ok(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) }
+func discardBody(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) }
 
-const whole = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+const simpleRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 func milliseconds(n int) sycamorerun.Duration {
 	return sycamorerun.Duration(time.Duration(n) * time.Millisecond)
 }
 
-// Guards against headers beyond the limits that hold a connection, or whose
-// caller is not told why it gets no response, on a new connection and on a kept
-// one.
+// Guards against headers that exceed the limits and hold a connection, or whose
+// caller gets no error response, on new and on reused connections.
 func TestHeader(t *testing.T) {
 	short := sycamorerun.Limits{Header: 8 << 10, Wait: milliseconds(150), Idle: milliseconds(20000)}
 	long := sycamorerun.Limits{Header: 8 << 10, Wait: milliseconds(20000), Idle: milliseconds(20000)}
-	lines := func(bytes int) string { return "GET / HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", bytes) }
+	partialHeader := func(bytes int) string { return "GET / HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", bytes) }
 	cases := map[string]struct {
 		limits sycamorerun.Limits
 		text   string
 		status int
 	}{
-		"at the limit": {long, lines(8<<10-100) + "\r\n\r\n", 200},
+		"at the limit": {long, partialHeader(8<<10-100) + "\r\n\r\n", 200},
 		"body behind":  {long, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n" + strings.Repeat("x", 60000), 200},
-		"too large":    {long, lines(13<<10) + "\r\n\r\n", 431},
-		"huge":         {long, lines(900<<10) + "\r\n\r\n", 431},
-		"no end":       {long, lines(64 << 10), 431},
-		"half":         {short, lines(10), 408},
+		"too large":    {long, partialHeader(13<<10) + "\r\n\r\n", 431},
+		"huge":         {long, partialHeader(900<<10) + "\r\n\r\n", 431},
+		"no end":       {long, partialHeader(64 << 10), 431},
+		"half":         {short, partialHeader(10), 408},
 		"one byte":     {short, "G", 408},
 	}
 	for name, c := range cases {
@@ -119,35 +118,35 @@
 			t.Run(fmt.Sprintf("%s, kept %t", name, kept), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				l, address := serve(t, long, ok)
+				l, address := serve(t, long, discardBody)
 				if !kept {
 					l.SetLimits(c.limits)
 				}
-				p := dial(t, address)
+				caller := dial(t, address)
 				if kept {
-					is.Equal(p.get(whole), 200)
+					is.Equal(caller.get(simpleRequest), 200)
 					l.SetLimits(c.limits)
-					time.Sleep(200 * time.Millisecond) // takes nothing from the time of a header
+					time.Sleep(200 * time.Millisecond) // idle time must not count towards the time limit of the header
 				}
-				begun := time.Now()
-				is.Equal(p.get(c.text), c.status)
-				is.True(c.status != 408 || time.Since(begun) >= 100*time.Millisecond)
+				start := time.Now()
+				is.Equal(caller.get(c.text), c.status)
+				is.True(c.status != 408 || time.Since(start) >= 100*time.Millisecond)
 				if c.status != 200 {
-					p.closed(t, 0, 5*time.Second)
+					caller.expectClosed(t, 0, 5*time.Second)
 				}
 			})
 		}
 	}
 	t.Run("nothing", func(t *testing.T) {
 		t.Parallel()
-		_, address := serve(t, short, ok)
-		dial(t, address).closed(t, 100*time.Millisecond, 5*time.Second)
+		_, address := serve(t, short, discardBody)
+		dial(t, address).expectClosed(t, 100*time.Millisecond, 5*time.Second)
 	})
 }
 
-// Guards against a malformed request whose caller loses the response, because
-// it sends the body first and the connection is reset meanwhile. Without the
-// reading after the response, 18 to 24 of 50 were lost.
+// Guards against a malformed request whose caller loses the error response,
+// because it sends the body first and the connection is reset in the meantime.
+// Without reading after the response, 18 to 24 of 50 responses were lost.
 func TestMalformed(t *testing.T) {
 	for head, status := range map[string]int{
 		"Host: h\r\nbad line\r\nContent-Length: 300000":            400,
@@ -159,39 +158,40 @@
 	} {
 		t.Run(head, func(t *testing.T) {
 			t.Parallel()
-			_, address := serve(t, sycamorerun.Limits{Header: 8 << 10}, ok)
+			_, address := serve(t, sycamorerun.Limits{Header: 8 << 10}, discardBody)
 			for range 20 {
-				p := dial(t, address)
-				_, _ = io.WriteString(p, "POST / HTTP/1.1\r\n"+head+"\r\n\r\n")
-				is.New(t).Equal(p.get(strings.Repeat("x", 300000)), status)
-				p.closed(t, 0, 5*time.Second)
+				caller := dial(t, address)
+				_, _ = io.WriteString(caller, "POST / HTTP/1.1\r\n"+head+"\r\n\r\n")
+				is.New(t).Equal(caller.get(strings.Repeat("x", 300000)), status)
+				caller.expectClosed(t, 0, 5*time.Second)
 			}
 		})
 	}
 }
 
-// Guards against a node that closes connections which callers may still use, or
-// that keeps them for ever. A fifth of the time is the margin of a busy machine.
+// Guards against closing connections that callers may still use, and against
+// never closing them. A fifth of the idle time is the margin for a busy
+// machine.
 func TestIdle(t *testing.T) {
-	const idle = 1500 * time.Millisecond
-	limits := sycamorerun.Limits{Wait: milliseconds(100), Idle: sycamorerun.Duration(idle)}
+	const idleTimeout = 1500 * time.Millisecond
+	limits := sycamorerun.Limits{Wait: milliseconds(100), Idle: sycamorerun.Duration(idleTimeout)}
 	t.Run("HTTP/1", func(t *testing.T) {
 		t.Parallel()
-		_, address := serve(t, limits, ok)
-		p := dial(t, address)
+		_, address := serve(t, limits, discardBody)
+		caller := dial(t, address)
 		for range 2 {
-			is.New(t).Equal(p.get(whole), 200)
-			time.Sleep(idle * 4 / 5)
+			is.New(t).Equal(caller.get(simpleRequest), 200)
+			time.Sleep(idleTimeout * 4 / 5)
 		}
-		is.New(t).Equal(p.get(whole), 200)
-		p.closed(t, idle-10*time.Millisecond, idle+time.Second)
+		is.New(t).Equal(caller.get(simpleRequest), 200)
+		caller.expectClosed(t, idleTimeout-10*time.Millisecond, idleTimeout+time.Second)
 	})
 	t.Run("HTTP/2", func(t *testing.T) {
 		t.Parallel()
 		is := is.New(t)
 		l, address := serve(t, limits, func(w http.ResponseWriter, r *http.Request) {
-			time.Sleep(idle + 100*time.Millisecond) // longer than every limit
-			ok(w, r)
+			time.Sleep(idleTimeout + 100*time.Millisecond) // exceeds every limit
+			discardBody(w, r)
 		})
 		transport := &http.Transport{Protocols: new(http.Protocols)}
 		transport.Protocols.SetUnencryptedHTTP2(true)
@@ -199,24 +199,24 @@
 		is.NoErr(err)
 		is.NoErr(response.Body.Close())
 		is.Equal(response.ProtoMajor, 2)
-		begun := time.Now()
-		l.emptied(t, idle+time.Second)
-		is.True(time.Since(begun) >= idle*4/5)
+		start := time.Now()
+		l.waitEmpty(t, idleTimeout+time.Second)
+		is.True(time.Since(start) >= idleTimeout*4/5)
 	})
 }
 
-// Guards against limits that come late or cut what is open: a longer time
-// applies to connections that rest already, a shorter one to the next request,
-// and a request that is running ends undisturbed.
+// Guards against limits that take effect late or interrupt open connections: a
+// longer time applies to idle connections at once, a shorter one only to the
+// next request, and a request in flight completes undisturbed.
 func TestChange(t *testing.T) {
 	t.Run("longer", func(t *testing.T) {
 		t.Parallel()
-		l, address := serve(t, sycamorerun.Limits{Idle: milliseconds(200)}, ok)
-		p := dial(t, address)
-		is.New(t).Equal(p.get(whole), 200)
+		l, address := serve(t, sycamorerun.Limits{Idle: milliseconds(200)}, discardBody)
+		caller := dial(t, address)
+		is.New(t).Equal(caller.get(simpleRequest), 200)
 		l.SetLimits(sycamorerun.Limits{Idle: milliseconds(2000)})
 		time.Sleep(600 * time.Millisecond)
-		is.New(t).Equal(p.get(whole), 200)
+		is.New(t).Equal(caller.get(simpleRequest), 200)
 	})
 	t.Run("shorter", func(t *testing.T) {
 		t.Parallel()
@@ -228,10 +228,10 @@
 			}
 		}
 		l, address := serve(t, sycamorerun.Limits{Idle: milliseconds(20000)}, change)
-		p := dial(t, address)
-		is.New(t).Equal(p.get("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"), 200)
+		caller := dial(t, address)
+		is.New(t).Equal(caller.get("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"), 200)
 		time.Sleep(400 * time.Millisecond)
-		is.New(t).Equal(p.get(whole), 200)
-		p.closed(t, 80*time.Millisecond, 3*time.Second)
+		is.New(t).Equal(caller.get(simpleRequest), 200)
+		caller.expectClosed(t, 80*time.Millisecond, 3*time.Second)
 	})
 }
