--- a/node/requester/exchange.go
+++ b/node/requester/exchange.go
@@ -172,8 +172,9 @@
 	return err
 }
 
-// newResponseBody returns the body of the response. The connection is released
-// at the end of the body.
+// newResponseBody returns the body of the response, and decides whether and for
+// how long the connection can be kept. The connection is released at the end of
+// the body.
 func (x *exchange) newResponseBody(response *http.Response) io.ReadCloser {
 	if response.Close || x.out.Close || !response.ProtoAtLeast(1, 1) || x.conn.raw == nil {
 		x.mustClose.Store(true)
@@ -221,9 +222,9 @@
 	x.done(false)
 }
 
-// finish is called when the response is complete. If the body has been read to
-// its end but not written yet, the end of the request's context no longer
-// closes the connection, and the rest is written within flushTimeout.
+// finish is called when the response is complete. If the request body has been
+// read to its end but not yet written, the end of the request's context no
+// longer closes the connection, and the rest is written within flushTimeout.
 func (x *exchange) finish(timeout time.Duration) {
 	now := time.Now()
 	x.conn.expires = now.Add(timeout)
