--- a/node/forwarder/execute.go
+++ b/node/forwarder/execute.go
@@ -123,7 +123,7 @@
 		return unknown(endReason(ctx, reasonUpstreamBroken))
 	}
 	reason := endReason(ctx, failed.Reason)
-	if failed.Ran == requester.No {
+	if failed.Execution == requester.NotExecuted {
 		return notRun(reason)
 	}
 	return unknown(reason)
--- a/node/forwarder/fixture_test.go
+++ b/node/forwarder/fixture_test.go
@@ -79,11 +79,11 @@
 	fx.callerServer.Config.ErrorLog = discardLog
 	fx.callerServer.Config.MaxHeaderBytes = defaultMaxHeaderBytes
 	limits := listener.New()
-	limits.Refuse = fx.entry.RefuseHeader
-	limits.Serve(fx.callerServer.Config)
+	limits.ErrorResponse = fx.entry.RefuseHeader
+	limits.Configure(fx.callerServer.Config)
 	configure(fx.callerServer)
 	callerListener := fx.callerServer.Listener
-	fx.callerServer.Listener = limits.On(callerListener)
+	fx.callerServer.Listener = limits.Wrap(callerListener)
 	fx.callerServer.Start()
 	if memory, ok := callerListener.(*memoryListener); ok {
 		fx.callerServer.Client().Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/node/forwarder/upload_test.go
+++ b/node/forwarder/upload_test.go
@@ -28,7 +28,7 @@
 	fx.entry.Upstream = roundTrip(func(request *http.Request) (*http.Response, error) {
 		if firstBody == nil {
 			firstBody = request.Body
-			return nil, &requester.Failure{Ran: requester.No, Reason: requester.ReasonRejected}
+			return nil, &requester.Failure{Execution: requester.NotExecuted, Reason: requester.ReasonRejected}
 		}
 		read, err := io.ReadAll(firstBody)
 		is.Equal(len(read), 0)
