--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -119,7 +119,7 @@
 	}
 	f.Others = func(_ string, than []string) bool { return len(than) < len(b.picks) }
 	f.Acquire = func(ctx context.Context, now time.Time, want Want) (func(), Rejection) {
-		release, refusal := b.limiter.Acquire(ctx, now, limiter.Want(want))
+		release, refusal := b.limiter.Acquire(ctx, now, limiter.Request(want))
 		return release, Rejection(refusal)
 	}
 	f.Load = func(Match) *Load { return &Load{Running: uint32(b.limiter.Load().Running), Slots: 6} }
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -75,7 +75,7 @@
 	const both, local, peer = 0, 1, 2
 	busy := func(b *bed) {
 		b.limiter.Resize(limiter.Limits{Slots: 1, Queue: 1})
-		_, _ = b.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
+		_, _ = b.limiter.Acquire(context.Background(), time.Now(), limiter.Request{})
 	}
 	cases := map[string]struct {
 		on      int
@@ -200,7 +200,7 @@
 		"idle in the queue": { // not canceled by its caller: it may be tried elsewhere
 			setUp: func(b *bed) {
 				b.limiter.Resize(limiter.Limits{Slots: 1, Queue: 2})
-				_, _ = b.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
+				_, _ = b.limiter.Acquire(context.Background(), time.Now(), limiter.Request{})
 				b.match.Idle = 100 * time.Millisecond
 			},
 			want: Attempt{Result: sycamorerun.NotRun, Reason: "idle"},
--- a/node/forwarder/failure_test.go
+++ b/node/forwarder/failure_test.go
@@ -169,7 +169,7 @@
 		"deadline in the queue": {
 			setUp: func(b *bed) {
 				b.limiter.Resize(limiter.Limits{Slots: 1, Queue: 1})
-				_, _ = b.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
+				_, _ = b.limiter.Acquire(context.Background(), time.Now(), limiter.Request{})
 			},
 			header: []string{sycamorerun.HeaderDeadline, "30"},
 			want:   result{status: 503, outcome: "not-run", reason: "deadline"},
@@ -177,7 +177,7 @@
 		"idle in the queue": {
 			setUp: func(b *bed) {
 				b.limiter.Resize(limiter.Limits{Slots: 1, Queue: 2})
-				_, _ = b.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
+				_, _ = b.limiter.Acquire(context.Background(), time.Now(), limiter.Request{})
 				b.match.Idle = 100 * time.Millisecond
 			},
 			want: result{status: 503, outcome: "not-run", reason: "idle"},
--- a/node/limiter/limiter.go
+++ b/node/limiter/limiter.go
@@ -37,8 +37,8 @@
 	objectiveMost  = 0.4
 )
 
-// Want describes a call that asks for a slot.
-type Want struct {
+// Request describes a call that asks for a slot.
+type Request struct {
 	// Rank orders the waiting calls, 1 first and RankMax last.
 	Rank int
 	// Deadline is zero for none.
@@ -114,7 +114,7 @@
 
 // Acquire waits for a slot. It returns a function that gives the slot back, or
 // the reason why the call must not start.
-func (l *Limiter) Acquire(ctx context.Context, now time.Time, want Want) (func(), Refusal) {
+func (l *Limiter) Acquire(ctx context.Context, now time.Time, want Request) (func(), Refusal) {
 	if expired(now, want.Deadline) {
 		return nil, Refusal{Reason: Expired}
 	}
--- a/node/limiter/limiter_test.go
+++ b/node/limiter/limiter_test.go
@@ -21,7 +21,7 @@
 }
 
 // arrive starts Acquire and waits until the call is in the queue or decided.
-func arrive(ctx context.Context, l *Limiter, want Want) *arrival {
+func arrive(ctx context.Context, l *Limiter, want Request) *arrival {
 	before := l.Load().Queued
 	a := &arrival{done: make(chan struct{})}
 	go func() {
@@ -52,7 +52,7 @@
 	l.Now = func() time.Time { return start }
 	var held []func()
 	for range limits.running() {
-		release, _ := l.Acquire(context.Background(), start, Want{Rank: background})
+		release, _ := l.Acquire(context.Background(), start, Request{Rank: background})
 		held = append(held, release)
 	}
 	return l, held
@@ -89,12 +89,12 @@
 					a := &arrival{done: make(chan struct{})}
 					go func() {
 						defer close(a.done)
-						a.release, a.refusal = l.Acquire(ctx, start, Want{Rank: rank})
+						a.release, a.refusal = l.Acquire(ctx, start, Request{Rank: rank})
 					}()
 					calls = append(calls, a)
 					continue
 				}
-				calls = append(calls, arrive(ctx, l, Want{Rank: rank}))
+				calls = append(calls, arrive(ctx, l, Request{Rank: rank}))
 			}
 			is.Equal(calls[c.refused].wait(), c.refusal)
 			is.Equal(l.Load().Queued, 2)
@@ -115,14 +115,14 @@
 func TestExpiredIsNotStarted(t *testing.T) {
 	is := is.New(t)
 	l, held := full(Limits{Slots: 1, Queue: 2})
-	late := arrive(context.Background(), l, Want{Rank: interactive, Deadline: start.Add(time.Second)})
-	next := arrive(context.Background(), l, Want{Rank: background, Deadline: start.Add(time.Hour)})
+	late := arrive(context.Background(), l, Request{Rank: interactive, Deadline: start.Add(time.Second)})
+	next := arrive(context.Background(), l, Request{Rank: background, Deadline: start.Add(time.Hour)})
 	l.Now = func() time.Time { return start.Add(time.Second) }
 	held[0]()
 	is.Equal(late.wait(), Expired)
 	is.Equal(next.wait(), "")
 	is.Equal(l.Load(), Load{Running: 1, Slots: 1})
-	_, refusal := l.Acquire(context.Background(), l.Now(), Want{Rank: interactive, Deadline: start})
+	_, refusal := l.Acquire(context.Background(), l.Now(), Request{Rank: interactive, Deadline: start})
 	is.Equal(refusal.Reason, Expired)
 }
 
@@ -132,9 +132,9 @@
 	is := is.New(t)
 	l, held := full(Limits{Slots: 6, Queue: 3, Connections: 2})
 	is.Equal(len(held), 2)
-	first := arrive(context.Background(), l, Want{Rank: bulk})
-	second := arrive(context.Background(), l, Want{Rank: bulk})
-	urgent := arrive(context.Background(), l, Want{Rank: interactive})
+	first := arrive(context.Background(), l, Request{Rank: bulk})
+	second := arrive(context.Background(), l, Request{Rank: bulk})
+	urgent := arrive(context.Background(), l, Request{Rank: interactive})
 	held[0]()
 	held[0]()
 	is.Equal(urgent.wait(), "")
--- a/node/limiter/queue.go
+++ b/node/limiter/queue.go
@@ -11,7 +11,7 @@
 
 type waiter struct {
 	work
-	want Want
+	want Request
 	// late says that the call can't meet its objective any more. It goes after
 	// the calls of its rank that can: under overload each slot for it would make
 	// one of those late as well.
@@ -24,7 +24,7 @@
 	run *run
 }
 
-func newWaiter(now time.Time, want Want) *waiter {
+func newWaiter(now time.Time, want Request) *waiter {
 	if want.Arrived.IsZero() {
 		want.Arrived = now
 	}
--- a/node/limiter/wait_test.go
+++ b/node/limiter/wait_test.go
@@ -28,28 +28,28 @@
 		slots, queued int
 		// nested says that the queued calls go before the others.
 		nested bool
-		want   Want
+		want   Request
 		reason string
 		after  time.Duration
 	}{
-		"no bound":                       {slots: 1, queued: 9, want: Want{Rank: interactive}},
-		"first in the queue":             {slots: 1, want: Want{Rank: interactive, Deadline: start.Add(201 * ms)}},
-		"no time left to run":            {slots: 1, want: Want{Rank: interactive, Deadline: start.Add(199 * ms)}, reason: Busy, after: 100 * ms},
-		"behind others":                  {slots: 1, queued: 3, want: Want{Rank: interactive, Deadline: start.Add(499 * ms)}, reason: Busy, after: 400 * ms},
-		"behind others, in time":         {slots: 1, queued: 3, want: Want{Rank: interactive, Deadline: start.Add(501 * ms)}},
-		"more slots":                     {slots: 2, queued: 4, want: Want{Rank: interactive, Deadline: start.Add(401 * ms)}},
-		"before others by rank":          {slots: 1, queued: 3, want: Want{Rank: 1, Deadline: start.Add(201 * ms)}},
-		"before others as nested":        {slots: 1, queued: 3, want: Want{Rank: interactive, Nested: true, Deadline: start.Add(201 * ms)}},
-		"before others by arrival":       {slots: 1, queued: 3, want: Want{Rank: interactive, Arrived: start.Add(-ms), Deadline: start.Add(201 * ms)}},
-		"before others by objective":     {slots: 1, queued: 3, want: Want{Rank: interactive, Objective: 301 * ms}},
-		"late already, goes last":        {slots: 1, queued: 1, want: Want{Rank: interactive, Objective: time.Second, Arrived: start.Add(-950 * ms)}, reason: Busy, after: 200 * ms},
-		"not late yet, goes first":       {slots: 1, queued: 1, want: Want{Rank: interactive, Objective: time.Second, Arrived: start.Add(-850 * ms)}},
-		"two runs before the objective":  {slots: 1, want: Want{Rank: interactive, Objective: 301 * ms}},
-		"less than two runs before it":   {slots: 1, want: Want{Rank: interactive, Objective: 299 * ms}, reason: Busy, after: 100 * ms},
-		"part of the objective":          {slots: 1, queued: 1, nested: true, want: Want{Rank: interactive, Objective: 501 * ms}},
-		"more than this part":            {slots: 1, queued: 1, nested: true, want: Want{Rank: interactive, Objective: 499 * ms}, reason: Busy, after: 200 * ms},
-		"objective, but deadline nearer": {slots: 1, queued: 1, want: Want{Rank: interactive, Objective: time.Hour, Deadline: start.Add(299 * ms)}, reason: Busy, after: 200 * ms},
-		"full queue":                     {slots: 1, queued: 10, want: Want{Rank: interactive}, reason: Full, after: 1100 * ms},
+		"no bound":                       {slots: 1, queued: 9, want: Request{Rank: interactive}},
+		"first in the queue":             {slots: 1, want: Request{Rank: interactive, Deadline: start.Add(201 * ms)}},
+		"no time left to run":            {slots: 1, want: Request{Rank: interactive, Deadline: start.Add(199 * ms)}, reason: Busy, after: 100 * ms},
+		"behind others":                  {slots: 1, queued: 3, want: Request{Rank: interactive, Deadline: start.Add(499 * ms)}, reason: Busy, after: 400 * ms},
+		"behind others, in time":         {slots: 1, queued: 3, want: Request{Rank: interactive, Deadline: start.Add(501 * ms)}},
+		"more slots":                     {slots: 2, queued: 4, want: Request{Rank: interactive, Deadline: start.Add(401 * ms)}},
+		"before others by rank":          {slots: 1, queued: 3, want: Request{Rank: 1, Deadline: start.Add(201 * ms)}},
+		"before others as nested":        {slots: 1, queued: 3, want: Request{Rank: interactive, Nested: true, Deadline: start.Add(201 * ms)}},
+		"before others by arrival":       {slots: 1, queued: 3, want: Request{Rank: interactive, Arrived: start.Add(-ms), Deadline: start.Add(201 * ms)}},
+		"before others by objective":     {slots: 1, queued: 3, want: Request{Rank: interactive, Objective: 301 * ms}},
+		"late already, goes last":        {slots: 1, queued: 1, want: Request{Rank: interactive, Objective: time.Second, Arrived: start.Add(-950 * ms)}, reason: Busy, after: 200 * ms},
+		"not late yet, goes first":       {slots: 1, queued: 1, want: Request{Rank: interactive, Objective: time.Second, Arrived: start.Add(-850 * ms)}},
+		"two runs before the objective":  {slots: 1, want: Request{Rank: interactive, Objective: 301 * ms}},
+		"less than two runs before it":   {slots: 1, want: Request{Rank: interactive, Objective: 299 * ms}, reason: Busy, after: 100 * ms},
+		"part of the objective":          {slots: 1, queued: 1, nested: true, want: Request{Rank: interactive, Objective: 501 * ms}},
+		"more than this part":            {slots: 1, queued: 1, nested: true, want: Request{Rank: interactive, Objective: 499 * ms}, reason: Busy, after: 200 * ms},
+		"objective, but deadline nearer": {slots: 1, queued: 1, want: Request{Rank: interactive, Objective: time.Hour, Deadline: start.Add(299 * ms)}, reason: Busy, after: 200 * ms},
+		"full queue":                     {slots: 1, queued: 10, want: Request{Rank: interactive}, reason: Full, after: 1100 * ms},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 			l, _ := learned(Limits{Slots: c.slots, Queue: 10}, 100*ms)
 			ctx, cancel := context.WithCancel(context.Background())
 			for range c.queued {
-				arrive(ctx, l, Want{Rank: interactive, Nested: c.nested})
+				arrive(ctx, l, Request{Rank: interactive, Nested: c.nested})
 			}
 			call := arrive(ctx, l, c.want)
 			if c.reason == "" {
@@ -78,15 +78,15 @@
 func TestWaitsEnd(t *testing.T) {
 	const ms = time.Millisecond
 	cases := map[string]struct {
-		want   Want
+		want   Request
 		at     time.Duration
 		freed  bool
 		reason string
 	}{
-		"objective":                {Want{Rank: interactive, Objective: 400 * ms}, 160 * ms, false, Busy},
-		"deadline":                 {Want{Rank: interactive, Deadline: start.Add(400 * ms)}, 300 * ms, false, Busy},
-		"its turn, but too late":   {Want{Rank: interactive, Deadline: start.Add(400 * ms)}, 392 * ms, true, Expired},
-		"its turn, with some time": {Want{Rank: interactive, Deadline: start.Add(400 * ms)}, 380 * ms, true, ""},
+		"objective":                {Request{Rank: interactive, Objective: 400 * ms}, 160 * ms, false, Busy},
+		"deadline":                 {Request{Rank: interactive, Deadline: start.Add(400 * ms)}, 300 * ms, false, Busy},
+		"its turn, but too late":   {Request{Rank: interactive, Deadline: start.Add(400 * ms)}, 392 * ms, true, Expired},
+		"its turn, with some time": {Request{Rank: interactive, Deadline: start.Add(400 * ms)}, 380 * ms, true, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -111,11 +111,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	l := New(Limits{Slots: 1, Queue: 2})
-	_, refusal := l.Acquire(ctx, time.Now(), Want{})
+	_, refusal := l.Acquire(ctx, time.Now(), Request{})
 	is.Equal(refusal, Refusal{})
-	later := arrive(ctx, l, Want{Objective: time.Hour})
+	later := arrive(ctx, l, Request{Objective: time.Hour})
 	began := time.Now()
-	_, refusal = l.Acquire(ctx, began, Want{Objective: 40 * ms}) // by the timer
+	_, refusal = l.Acquire(ctx, began, Request{Objective: 40 * ms}) // by the timer
 	is.Equal(refusal.Reason, Busy)
 	is.True(time.Since(began) >= 16*ms)
 	is.Equal(l.Load().Queued, 1)
@@ -177,7 +177,7 @@
 				for at, rate := range c.rates {
 					if random.Float64() < float64(rate)/100 {
 						asked[at]++
-						w := newWaiter(now, Want{Rank: ranks[at], Objective: 200 * time.Millisecond, Deadline: now.Add(time.Second)})
+						w := newWaiter(now, Request{Rank: ranks[at], Objective: 200 * time.Millisecond, Deadline: now.Add(time.Second)})
 						if l.enter(now, w).Reason == "" {
 							waiting = append(waiting, w)
 						}
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -110,7 +110,7 @@
 		if !c.upstream.admits(forwarder.ServiceOf(ctx)) {
 			return nil, forwarder.Rejection{Reason: limiter.Draining}
 		}
-		release, refusal := c.limiter.Acquire(ctx, now, limiter.Want(want))
+		release, refusal := c.limiter.Acquire(ctx, now, limiter.Request(want))
 		return release, forwarder.Rejection(refusal)
 	}
 	f.Load = func(match forwarder.Match) *forwarder.Load {
