--- a/node/limiter/limiter.go
+++ b/node/limiter/limiter.go
@@ -135,9 +135,9 @@
 	return Load{Running: len(l.running), Queued: l.queue.length, Slots: l.limits.running()}
 }
 
-// Run returns the mean time for which recent calls of the same rank and objective
+// MeanRunTime returns the mean time for which recent calls of the same rank and objective
 // held a slot, or zero if none has ended.
-func (l *Limiter) Run(rank int, objective time.Duration) time.Duration {
+func (l *Limiter) MeanRunTime(rank int, objective time.Duration) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.estimate.ran(newWork(rank, objective))
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -117,7 +117,7 @@
 		load := c.limiter.Load()
 		return &forwarder.Load{
 			Running: uint32(load.Running), Queued: uint32(load.Queued), Slots: uint32(load.Slots),
-			RunUs: c.limiter.Run(match.Rank, match.Objective).Microseconds(),
+			RunUs: c.limiter.MeanRunTime(match.Rank, match.Objective).Microseconds(),
 		}
 	}
 	f.Begin = func(now time.Time, claim forwarder.Claim) sycamorerun.Decision {
