--- a/node/balancer/balancer.go
+++ b/node/balancer/balancer.go
@@ -28,9 +28,9 @@
 	Running int
 	Queued  int
 	Slots   int
-	// Run is the mean time for which recent calls of the same rank and objective
+	// RunTime is the mean time for which recent calls of the same rank and objective
 	// held a slot; zero means unknown.
-	Run time.Duration
+	RunTime time.Duration
 }
 
 // Observation is the end of an attempt at a picked instance.
--- a/node/balancer/speed_test.go
+++ b/node/balancer/speed_test.go
@@ -39,7 +39,7 @@
 				}
 				b.Observe(start, Observation{
 					Instance: m.Name, Result: sycamorerun.Answered, Status: 200, Rank: c.rank,
-					Load: &Load{Slots: 6, Run: run},
+					Load: &Load{Slots: 6, RunTime: run},
 				})
 			}
 			now := start.Add(c.age)
--- a/node/balancer/stats.go
+++ b/node/balancer/stats.go
@@ -89,7 +89,7 @@
 	s.used = now
 	if observation.Load != nil {
 		s.report, s.reported, s.ownAt = *observation.Load, now, s.inFlight
-		s.ran(now, work{observation.Rank, observation.Objective}, observation.Load.Run)
+		s.ran(now, work{observation.Rank, observation.Objective}, observation.Load.RunTime)
 	}
 	switch {
 	case neutrals[observation.Reason]:
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -154,7 +154,7 @@
 	if o.Load != nil {
 		result.Load = &balancer.Load{
 			Running: int(o.Load.GetRunning()), Queued: int(o.Load.GetQueued()), Slots: int(o.Load.GetSlots()),
-			Run: time.Duration(o.Load.GetRunUs()) * time.Microsecond,
+			RunTime: time.Duration(o.Load.GetRunUs()) * time.Microsecond,
 		}
 	}
 	return result
