--- a/node/retrier/retrier.go
+++ b/node/retrier/retrier.go
@@ -40,8 +40,8 @@
 	Sent   bool
 	// Limit bounds Sends; zero means the default.
 	Limit int
-	// Same says that a repetition goes to the same instance.
-	Same bool
+	// SameInstance says that a repetition goes to the same instance.
+	SameInstance bool
 	// Left is the time until the deadline; zero means that there is none.
 	Left time.Duration
 	// Level is the attempt number of the request from which this call stems.
@@ -120,7 +120,7 @@
 	defer r.mutex.Unlock()
 	s := r.service(now, attempt.Service)
 	delay := time.Duration(0)
-	if attempt.Sent || attempt.Same {
+	if attempt.Sent || attempt.SameInstance {
 		delay = time.Duration(r.Random(int64(ceiling(attempt.Number))))
 	}
 	if attempt.Left != 0 && attempt.Left-delay <= time.Duration(timeLeast*float64(s.typical)) {
--- a/node/retrier/retrier_test.go
+++ b/node/retrier/retrier_test.go
@@ -35,7 +35,7 @@
 		"second attempt, of two":          {Attempt{Number: 2, Sends: 2, Sent: true, Limit: 2, Result: sycamorerun.NotRun}, 0.2, false},
 		"third refusal by a node":         {Attempt{Number: 3, Result: sycamorerun.NotRun}, 0.2, true},
 		"fourth refusal by a node":        {Attempt{Number: 4, Result: sycamorerun.NotRun}, 0.2, false},
-		"refused by the only node":        {Attempt{Number: 1, Same: true, Result: sycamorerun.NotRun}, 0.2, true},
+		"refused by the only node":        {Attempt{Number: 1, SameInstance: true, Result: sycamorerun.NotRun}, 0.2, true},
 		"sends and refusals":              {Attempt{Number: 5, Sends: 2, Result: sycamorerun.NotRun}, 0.2, true},
 		"refused, no retries allowed":     {Attempt{Number: 1, Result: sycamorerun.NotRun}, 0, true},
 		"refused below a repeated one":    {Attempt{Number: 1, Level: 2, Result: sycamorerun.NotRun}, 0.2, true},
@@ -55,7 +55,7 @@
 			r.Ran(start, c.attempt.Service, 100*time.Millisecond)
 			delay, ok := r.Allow(start, c.attempt)
 			is.Equal(ok, c.want)
-			if ok && !c.attempt.Sent && !c.attempt.Same {
+			if ok && !c.attempt.Sent && !c.attempt.SameInstance {
 				is.Equal(delay, time.Duration(0))
 			} else if ok {
 				is.Equal(delay, delayBase<<(c.attempt.Number-1)-1)
