--- a/node/retrier/retrier.go
+++ b/node/retrier/retrier.go
@@ -42,8 +42,8 @@
 	Limit int
 	// SameInstance says that a repetition goes to the same instance.
 	SameInstance bool
-	// Left is the time until the deadline; zero means that there is none.
-	Left time.Duration
+	// TimeLeft is the time until the deadline; zero means that there is none.
+	TimeLeft time.Duration
 	// Level is the attempt number of the request from which this call stems.
 	Level  int
 	Result sycamorerun.Result
@@ -123,7 +123,7 @@
 	if attempt.Sent || attempt.SameInstance {
 		delay = time.Duration(r.Random(int64(ceiling(attempt.Number))))
 	}
-	if attempt.Left != 0 && attempt.Left-delay <= time.Duration(timeLeast*float64(s.typical)) {
+	if attempt.TimeLeft != 0 && attempt.TimeLeft-delay <= time.Duration(timeLeast*float64(s.typical)) {
 		return 0, false
 	}
 	if attempt.Sent && !r.charge(now, attempt.Service, s) {
