--- a/node/retrier/retrier.go
+++ b/node/retrier/retrier.go
@@ -44,9 +44,9 @@
 	SameInstance bool
 	// TimeLeft is the time until the deadline; zero means that there is none.
 	TimeLeft time.Duration
-	// Level is the attempt number of the request from which this call stems.
-	Level  int
-	Result sycamorerun.Result
+	// ParentAttempt is the attempt number of the request from which this call stems.
+	ParentAttempt int
+	Result        sycamorerun.Result
 	// Repeatable says that the request may run more than once.
 	Repeatable bool
 	// Consumed says that a part of the request body can't be sent again.
@@ -156,7 +156,7 @@
 	switch {
 	case attempt.Passed, attempt.Consumed:
 		return false
-	case attempt.Sends >= limit, attempt.Sent && attempt.Level > 1:
+	case attempt.Sends >= limit, attempt.Sent && attempt.ParentAttempt > 1:
 		return false
 	case attempt.Number-attempt.Sends > refusedMax:
 		return false
--- a/node/retrier/retrier_test.go
+++ b/node/retrier/retrier_test.go
@@ -38,13 +38,13 @@
 		"refused by the only node":        {Attempt{Number: 1, SameInstance: true, Result: sycamorerun.NotRun}, 0.2, true},
 		"sends and refusals":              {Attempt{Number: 5, Sends: 2, Result: sycamorerun.NotRun}, 0.2, true},
 		"refused, no retries allowed":     {Attempt{Number: 1, Result: sycamorerun.NotRun}, 0, true},
-		"refused below a repeated one":    {Attempt{Number: 1, Level: 2, Result: sycamorerun.NotRun}, 0.2, true},
+		"refused below a repeated one":    {Attempt{Number: 1, ParentAttempt: 2, Result: sycamorerun.NotRun}, 0.2, true},
 		"too little time":                 {Attempt{Number: 1, Result: sycamorerun.NotRun, TimeLeft: 50 * time.Millisecond}, 0.2, false},
 		"deadline passed":                 {Attempt{Number: 1, Result: sycamorerun.NotRun, TimeLeft: -1}, 0.2, false},
 		"time enough":                     {Attempt{Number: 1, Result: sycamorerun.NotRun, TimeLeft: 51 * time.Millisecond}, 0.2, true},
 		"time enough, but not to wait":    {Attempt{Number: 1, Sends: 1, Sent: true, Result: sycamorerun.NotRun, TimeLeft: 59 * time.Millisecond}, 0.2, false},
-		"stems from a repeated request":   {Attempt{Number: 1, Sends: 1, Sent: true, Level: 2, Result: sycamorerun.NotRun}, 0.2, false},
-		"stems from a first request":      {Attempt{Number: 1, Sends: 1, Sent: true, Level: 1, Result: sycamorerun.NotRun}, 0.2, true},
+		"stems from a repeated request":   {Attempt{Number: 1, Sends: 1, Sent: true, ParentAttempt: 2, Result: sycamorerun.NotRun}, 0.2, false},
+		"stems from a first request":      {Attempt{Number: 1, Sends: 1, Sent: true, ParentAttempt: 1, Result: sycamorerun.NotRun}, 0.2, true},
 		"the service allows no retries":   {Attempt{Number: 1, Sends: 1, Sent: true, Result: sycamorerun.NotRun}, 0, false},
 		"second attempt, longer max wait": {Attempt{Number: 2, Sends: 2, Sent: true, Result: sycamorerun.NotRun}, 0.2, true},
 	}
@@ -195,7 +195,7 @@
 			if call(max(level, n), at+1) {
 				return true
 			}
-			if _, ok := r.Allow(start, Attempt{Service: "s", Number: n, Sends: n, Sent: true, Level: level, Result: sycamorerun.NotRun}); !ok {
+			if _, ok := r.Allow(start, Attempt{Service: "s", Number: n, Sends: n, Sent: true, ParentAttempt: level, Result: sycamorerun.NotRun}); !ok {
 				return false
 			}
 		}
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -102,7 +102,7 @@
 	f.Allow = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
 		return c.retrier.Allow(now, retrier.Attempt{
 			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, SameInstance: a.Same, TimeLeft: a.Left,
-			Level: a.Level, Result: a.Result,
+			ParentAttempt: a.Level, Result: a.Result,
 			Repeatable: a.Repeatable, Consumed: a.Consumed, Passed: a.Passed,
 		})
 	}
