--- a/node/retrier/retrier.go
+++ b/node/retrier/retrier.go
@@ -51,8 +51,8 @@
 	Repeatable bool
 	// Consumed says that a part of the request body can't be sent again.
 	Consumed bool
-	// Passed says that a part of the response reached the caller.
-	Passed bool
+	// ResponseStarted says that a part of the response reached the caller.
+	ResponseStarted bool
 }
 
 // Retrier holds the retry budget of every service.
@@ -154,7 +154,7 @@
 		limit = sentDefault
 	}
 	switch {
-	case attempt.Passed, attempt.Consumed:
+	case attempt.ResponseStarted, attempt.Consumed:
 		return false
 	case attempt.Sends >= limit, attempt.Sent && attempt.ParentAttempt > 1:
 		return false
--- a/node/retrier/retrier_test.go
+++ b/node/retrier/retrier_test.go
@@ -28,7 +28,7 @@
 		"unknown, not repeatable":         {Attempt{Number: 1, Sends: 1, Sent: true, Result: sycamorerun.Unknown}, 0.2, false},
 		"unknown, repeatable":             {Attempt{Number: 1, Sends: 1, Sent: true, Result: sycamorerun.Unknown, Repeatable: true}, 0.2, true},
 		"answered":                        {Attempt{Number: 1, Sends: 1, Sent: true, Result: sycamorerun.Answered, Repeatable: true}, 0.2, false},
-		"a part was passed on":            {Attempt{Number: 1, Sends: 1, Sent: true, Result: sycamorerun.Unknown, Repeatable: true, Passed: true}, 0.2, false},
+		"a part was passed on":            {Attempt{Number: 1, Sends: 1, Sent: true, Result: sycamorerun.Unknown, Repeatable: true, ResponseStarted: true}, 0.2, false},
 		"the body is gone":                {Attempt{Number: 1, Sends: 1, Sent: true, Result: sycamorerun.NotRun, Consumed: true}, 0.2, false},
 		"third attempt":                   {Attempt{Number: 3, Sends: 3, Sent: true, Result: sycamorerun.NotRun}, 0.2, false},
 		"third attempt, of five":          {Attempt{Number: 3, Sends: 3, Sent: true, Limit: 5, Result: sycamorerun.NotRun}, 0.2, true},
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -103,7 +103,7 @@
 		return c.retrier.Allow(now, retrier.Attempt{
 			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, SameInstance: a.Same, TimeLeft: a.Left,
 			ParentAttempt: a.Level, Result: a.Result,
-			Repeatable: a.Repeatable, Consumed: a.Consumed, Passed: a.Passed,
+			Repeatable: a.Repeatable, Consumed: a.Consumed, ResponseStarted: a.Passed,
 		})
 	}
 	f.Acquire = func(ctx context.Context, now time.Time, want forwarder.Want) (func(), forwarder.Rejection) {
