--- a/node/retrier/retrier.go
+++ b/node/retrier/retrier.go
@@ -98,8 +98,8 @@
 	r.service(now, name).budget.earn(margin*r.ratio(name), r.share(now))
 }
 
-// Ran tells how long an answered attempt took.
-func (r *Retrier) Ran(now time.Time, name string, took time.Duration) {
+// RecordRunTime tells how long an answered attempt took.
+func (r *Retrier) RecordRunTime(now time.Time, name string, took time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	s := r.service(now, name)
--- a/node/retrier/retrier_test.go
+++ b/node/retrier/retrier_test.go
@@ -52,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := fixed(c.ratio)
-			r.Ran(start, c.attempt.Service, 100*time.Millisecond)
+			r.RecordRunTime(start, c.attempt.Service, 100*time.Millisecond)
 			delay, ok := r.Allow(start, c.attempt)
 			is.Equal(ok, c.want)
 			if ok && !c.attempt.Sent && !c.attempt.SameInstance {
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -93,7 +93,7 @@
 	f.Observe = func(now time.Time, o forwarder.Observation) {
 		c.balancer.Observe(now, observation(o))
 		if o.Result == sycamorerun.Answered {
-			c.retrier.Ran(now, o.Service, o.Head)
+			c.retrier.RecordRunTime(now, o.Service, o.Head)
 		}
 	}
 	f.Others = func(service string, than []string) bool { return others(instances(service), than) }
