--- a/node/retrier/retrier.go
+++ b/node/retrier/retrier.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Call counts a call of a service, which earns a fraction of a retry.
-func (r *Retrier) Call(now time.Time, name string) {
+// RecordCall counts a call of a service, which earns a fraction of a retry.
+func (r *Retrier) RecordCall(now time.Time, name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.service(now, name).budget.earn(margin*r.ratio(name), r.share(now))
--- a/node/retrier/retrier_test.go
+++ b/node/retrier/retrier_test.go
@@ -81,7 +81,7 @@
 	}
 	is.Equal(made, 8)
 	for range 400 {
-		r.Call(start, "s")
+		r.RecordCall(start, "s")
 		if repeat(r, start) {
 			made++
 		}
@@ -91,7 +91,7 @@
 		_, ok := r.Allow(start, Attempt{Service: "s", Number: 1, Result: sycamorerun.NotRun})
 		is.True(ok)
 	}
-	r.Call(start.Add(2*idleMax), "other")
+	r.RecordCall(start.Add(2*idleMax), "other")
 	is.Equal(len(r.services), 1) // unused budgets are forgotten
 }
 
@@ -134,7 +134,7 @@
 				for node, r := range fleet {
 					now := start.Add(time.Duration(at)*step + skew(node))
 					for range c.calls(node, at) {
-						r.Call(now, "s")
+						r.RecordCall(now, "s")
 						calls[at]++
 					}
 					for (c.idle == nil || !c.idle(at)) && repeat(r, now) {
@@ -191,7 +191,7 @@
 			return false
 		}
 		for n := 1; ; n++ {
-			r.Call(start, "s")
+			r.RecordCall(start, "s")
 			if call(max(level, n), at+1) {
 				return true
 			}
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -98,7 +98,7 @@
 	}
 	f.Others = func(service string, than []string) bool { return others(instances(service), than) }
 	f.Owner = func(service, key string) (sycamorerun.Instance, bool) { return owner(instances(service), key) }
-	f.Call = c.retrier.Call
+	f.Call = c.retrier.RecordCall
 	f.Allow = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
 		return c.retrier.Allow(now, retrier.Attempt{
 			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, SameInstance: a.Same, TimeLeft: a.Left,
