--- a/node/retrier/budget.go
+++ b/node/retrier/budget.go
@@ -92,7 +92,7 @@
 	// The members agree on the turn only by the wall clock.
 	window := float64(r.Budget.Window)
 	turn, at := math.Modf(float64(now.UnixNano()) / (window * turnWindows))
-	if at*turnWindows >= restWindows && (r.Place()+int(turn)*rest)%count < rest {
+	if at*turnWindows >= restWindows && (r.MemberIndex()+int(turn)*rest)%count < rest {
 		result.turn = 1
 	}
 	return result
--- a/node/retrier/retrier.go
+++ b/node/retrier/retrier.go
@@ -63,8 +63,8 @@
 	Budget Budget
 	// Members returns the number of nodes that share the slack, and Place the
 	// index of this one in an order on which they agree.
-	Members func() int
-	Place   func() int
+	Members     func() int
+	MemberIndex func() int
 	// Random returns a number in [0, n).
 	Random func(n int64) int64
 
@@ -87,7 +87,7 @@
 func New(ratio func(service string) float64) *Retrier {
 	return &Retrier{
 		Ratio: ratio, Budget: DefaultBudget, Random: rand.Int64N,
-		Members: func() int { return 1 }, Place: func() int { return 0 }, services: map[string]*service{},
+		Members: func() int { return 1 }, MemberIndex: func() int { return 0 }, services: map[string]*service{},
 	}
 }
 
--- a/node/retrier/retrier_test.go
+++ b/node/retrier/retrier_test.go
@@ -123,7 +123,7 @@
 			for place := range c.nodes {
 				r := fixed(0.2)
 				r.Budget.Slack = c.slack
-				r.Members, r.Place = func() int { return c.nodes }, func() int { return place }
+				r.Members, r.MemberIndex = func() int { return c.nodes }, func() int { return place }
 				fleet = append(fleet, r)
 			}
 			const steps, window = 3000, 200
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -52,7 +52,7 @@
 	})
 	c.retrier.Budget = retrier.Budget{Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack}
 	c.retrier.Members = func() int { return len(members()) }
-	c.retrier.Place = func() int {
+	c.retrier.MemberIndex = func() int {
 		place := 0
 		for _, member := range members() {
 			if member.Name < settings.Name {
