--- a/node/distributor/deputy.go
+++ b/node/distributor/deputy.go
@@ -31,7 +31,7 @@
 	var since time.Time
 	for sleep(ctx, time.Duration((0.75+0.5*d.Random())*float64(monitorPeriod))) {
 		plan := d.Plan()
-		rank := slices.Index(plan.Deputies, d.Self)
+		rank := slices.Index(plan.BackupWatchers, d.Self)
 		switch {
 		case rank < 0 || !d.Ready():
 			d.takeOver(false)
@@ -45,7 +45,7 @@
 			if time.Since(since) >= takeoverLeast && d.anyWatching(ctx, plan.Watchers) {
 				d.takeOver(false)
 			}
-		case d.orphaned(ctx, plan.Watchers, plan.Deputies[:rank]) && ctx.Err() == nil:
+		case d.orphaned(ctx, plan.Watchers, plan.BackupWatchers[:rank]) && ctx.Err() == nil:
 			level.Warn(d.Logger).Log("msg", "no planned watcher reaches the store; watching in their place", "rank", rank)
 			since = time.Now()
 			d.takeOver(true)
--- a/node/distributor/document_fleet_test.go
+++ b/node/distributor/document_fleet_test.go
@@ -71,7 +71,7 @@
 // order returns the watchers and their deputies.
 func (f *fleet) order() []string {
 	plan := planner.New("node-00", f.instances(), f.options)
-	return slices.Concat(plan.Watchers, plan.Deputies)
+	return slices.Concat(plan.Watchers, plan.BackupWatchers)
 }
 
 func (f *fleet) instances() (all []sycamorerun.Instance) {
--- a/node/distributor/fallback.go
+++ b/node/distributor/fallback.go
@@ -67,7 +67,7 @@
 	switch {
 	case d.Document == nil:
 		return d.checkStore(ctx)
-	case d.watchRole(plan) != planner.None || slices.Contains(plan.Deputies, d.Self):
+	case d.watchRole(plan) != planner.None || slices.Contains(plan.BackupWatchers, d.Self):
 		return nil
 	}
 	return d.readDocument(ctx)
--- a/node/planner/plan.go
+++ b/node/planner/plan.go
@@ -59,8 +59,8 @@
 	// Watchers and Deputies are set with Options.Watchers: the members that
 	// watch the store, in the order of their rank, and those that come next and
 	// look after them.
-	Watchers []string
-	Deputies []string
+	Watchers       []string
+	BackupWatchers []string
 	// Regions lists the first member of every region in tree 0, this node
 	// included, in the order of the regions' names. A survey starts there.
 	Regions []Link
@@ -92,7 +92,7 @@
 	}
 	plan.Watch = watch(self, &orders)
 	if len(options) > 0 && options[0].Watchers > 0 {
-		plan.Watchers, plan.Deputies = watchers(options[0].Watchers, members)
+		plan.Watchers, plan.BackupWatchers = watchers(options[0].Watchers, members)
 		plan.Watch = None
 		if slices.Contains(plan.Watchers, self) {
 			plan.Watch = Primary
--- a/node/planner/watchers_test.go
+++ b/node/planner/watchers_test.go
@@ -37,7 +37,7 @@
 			distances, zones := map[int]int{}, map[string]bool{}
 			for _, member := range members {
 				plan := planner.New(member.Name, members, planner.Options{Watchers: 3})
-				is.Equal(len(plan.Watchers)+len(plan.Deputies), len(members))
+				is.Equal(len(plan.Watchers)+len(plan.BackupWatchers), len(members))
 				if plan.Watch == planner.Primary {
 					distances[member.Distance]++
 					zones[member.AvailabilityZone] = true
