--- a/node/reporter/reporter.go
+++ b/node/reporter/reporter.go
@@ -59,7 +59,7 @@
 	changed := map[router.State][]sycamorerun.Path{}
 	counts := map[router.State]int{}
 	table := r.Table()
-	for _, status := range table.Gaps(r.Upstreams) {
+	for _, status := range table.Degraded(r.Upstreams) {
 		known, ok := r.known[status.Route]
 		if !ok || known.state != status.State {
 			known = gap{status.State, now}
--- a/node/router/status.go
+++ b/node/router/status.go
@@ -46,9 +46,9 @@
 	return result
 }
 
-// Gaps returns the routes that are not served. It runs after each change of
+// Degraded returns the routes that are not served. It runs after each change of
 // the members, so that it allocates nothing for served routes.
-func (t *Table) Gaps(upstreams func(service string) int) []Status {
+func (t *Table) Degraded(upstreams func(service string) int) []Status {
 	var result []Status
 	for _, route := range t.routes {
 		if route.state(upstreams) != Served {
--- a/node/runner/operators.go
+++ b/node/runner/operators.go
@@ -162,7 +162,7 @@
 		Sessions: n.connector.Sessions(), Members: len(n.fleet.live()),
 		Watching: n.fleet.plan().Watch != planner.None,
 	}
-	for _, route := range n.applier.Current().Table.Gaps(n.fleet.upstreams) {
+	for _, route := range n.applier.Current().Table.Degraded(n.fleet.upstreams) {
 		if route.State == router.Partial {
 			result.Partial++
 		} else {
