--- a/node/limiter/estimate.go
+++ b/node/limiter/estimate.go
@@ -3,79 +3,84 @@
 import "time"
 
 const (
-	// meanWeight is the weight of the newest run in the mean. Until there are
-	// 1/meanWeight runs, all have the same.
-	meanWeight = 0.05
-	// worksMax bounds the kinds of work with a mean of their own; further ones
-	// count with their rank.
-	worksMax = 256
+	// ewmaWeight is the weight of the newest run time in a moving average. The
+	// first 1/ewmaWeight run times have equal weights.
+	ewmaWeight = 0.05
+	// maxCallKinds bounds the number of call kinds with a moving average of their
+	// own. The run times of further kinds only count for their rank.
+	maxCallKinds = 256
 )
 
-// work is a kind of calls that take about the same time. Routes of one rank can
-// differ by a factor of 20, and then tell themselves apart by their objective.
-type work struct {
+// callKind groups calls that are expected to take about the same time. The run
+// times of routes of one rank can differ by a factor of 20; such routes are told
+// apart by their objectives.
+type callKind struct {
 	rank      int
 	objective time.Duration
 }
 
-func newWork(rank int, objective time.Duration) work { return work{clamp(rank), objective} }
+func newCallKind(rank int, objective time.Duration) callKind {
+	return callKind{clampRank(rank), objective}
+}
 
-// estimate holds the mean time for which calls hold a slot: all calls, those of
-// each rank, and those of each kind of work.
-type estimate struct {
-	all   mean
-	ranks [RankMax + 1]mean
-	works map[work]*mean
+// runTimes holds the mean time for which calls hold a slot, over all calls, per
+// rank and per call kind.
+type runTimes struct {
+	all   movingAverage
+	ranks [MaxRank + 1]movingAverage
+	kinds map[callKind]*movingAverage
 }
 
-type mean struct {
+// movingAverage is an exponentially weighted moving average.
+type movingAverage struct {
 	value time.Duration
 	count int
 }
 
-func (m *mean) add(took time.Duration) {
+func (m *movingAverage) add(runTime time.Duration) {
 	m.count++
-	m.value += scale(took-m.value, max(meanWeight, 1/float64(m.count)))
+	m.value += scale(runTime-m.value, max(ewmaWeight, 1/float64(m.count)))
 }
 
-func (e *estimate) add(w work, took time.Duration) {
-	e.all.add(took)
-	e.ranks[w.rank].add(took)
-	known, ok := e.works[w]
+func (r *runTimes) add(kind callKind, runTime time.Duration) {
+	r.all.add(runTime)
+	r.ranks[kind.rank].add(runTime)
+	average, ok := r.kinds[kind]
 	if !ok {
-		if len(e.works) >= worksMax {
+		if len(r.kinds) >= maxCallKinds {
 			return
 		}
-		if e.works == nil {
-			e.works = map[work]*mean{}
+		if r.kinds == nil {
+			r.kinds = map[callKind]*movingAverage{}
 		}
-		known = &mean{}
-		e.works[w] = known
+		average = &movingAverage{}
+		r.kinds[kind] = average
 	}
-	known.add(took)
+	average.add(runTime)
 }
 
-// rank returns the mean of rank, or that of all calls if none of the rank has
-// run.
-func (e *estimate) rank(rank int) time.Duration {
-	if e.ranks[rank].count == 0 {
-		return e.all.value
+// forRank returns the mean of rank, or the mean of all calls if no call of the
+// rank has run.
+func (r *runTimes) forRank(rank int) time.Duration {
+	if r.ranks[rank].count == 0 {
+		return r.all.value
 	}
-	return e.ranks[rank].value
+	return r.ranks[rank].value
 }
 
-// work returns the mean of w, or that of its rank if none of the kind has run.
-func (e *estimate) work(w work) time.Duration {
-	if known, ok := e.works[w]; ok {
-		return known.value
+// forKind returns the mean of kind, or the mean of its rank if no call of the kind
+// has run.
+func (r *runTimes) forKind(kind callKind) time.Duration {
+	if average, ok := r.kinds[kind]; ok {
+		return average.value
 	}
-	return e.rank(w.rank)
+	return r.forRank(kind.rank)
 }
 
-// ran returns the mean of w, or zero if none of the kind has run.
-func (e *estimate) ran(w work) time.Duration {
-	if known, ok := e.works[w]; ok {
-		return known.value
+// observed returns the mean of kind, or zero if no call of the kind has run.
+func (r *runTimes) observed(kind callKind) time.Duration {
+	if average, ok := r.kinds[kind]; ok {
+		return average.value
 	}
 	return 0
 }
--- a/node/limiter/fairness.go
+++ b/node/limiter/fairness.go
@@ -6,84 +6,86 @@
 )
 
 const (
-	// turnEvery is the number of freed slots of which one goes to a rank that
-	// starves. A quarter of the slots serves every rank at a quarter of the overall
-	// rate, whatever its part of the calls.
-	turnEvery = 4
-	// starving is the part of the overall served rate below which a rank starves.
-	// A fixed part of the slots would serve a rank with few calls better than the
-	// more urgent ones.
-	starving = 0.5
-	// outcomesMin is the number of calls that a served rate needs.
-	outcomesMin = 4
-	// outcomesLife is the time in which an outcome loses 63% of its weight. It
-	// is some times the gap between the calls of a rare rank.
-	outcomesLife = 10 * time.Second
-	// decayStep bounds how often the weights are updated.
-	decayStep = 100 * time.Millisecond
+	// starvedGrantInterval is the number of granted slots of which one goes to a
+	// starving rank. One slot in four is enough to serve every rank at a quarter
+	// of the overall rate, whatever its share of the calls.
+	starvedGrantInterval = 4
+	// starvationRatio is the fraction of the overall grant rate below which a rank
+	// is starving. Reserving a fixed fraction of the slots instead would serve a
+	// rank with few calls better than the more urgent ranks.
+	starvationRatio = 0.5
+	// minOutcomes is the number of calls required for a grant rate.
+	minOutcomes = 4
+	// outcomeTimeConstant is the time in which an outcome loses 63% of its weight.
+	// It is several times the interval between calls of a rarely used rank.
+	outcomeTimeConstant = 10 * time.Second
+	// minDecayInterval is the minimum time between two updates of the weights.
+	minDecayInterval = 100 * time.Millisecond
 )
 
-// fairness holds which part of the calls of each rank got a slot, and at index
-// 0 of all calls.
+// fairness tracks the fraction of the calls of each rank that got a slot. Index 0
+// counts the calls of all ranks.
 type fairness struct {
-	asked   [RankMax + 1]float64
-	served  [RankMax + 1]float64
-	decayed time.Time
-	// turns counts the slots since one went to a rank that starves.
-	turns int
+	requested [MaxRank + 1]float64
+	granted   [MaxRank + 1]float64
+	decayedAt time.Time
+	// sinceStarvedGrant counts the slots granted since the last one that went to a
+	// starving rank.
+	sinceStarvedGrant int
 }
 
-func (f *fairness) count(now time.Time, rank int, served bool) {
+func (f *fairness) record(now time.Time, rank int, granted bool) {
 	f.decay(now)
-	for _, at := range [...]int{0, rank} {
-		f.asked[at]++
-		if served {
-			f.served[at]++
+	for _, index := range [...]int{0, rank} {
+		f.requested[index]++
+		if granted {
+			f.granted[index]++
 		}
 	}
 }
 
 func (f *fairness) decay(now time.Time) {
-	passed := now.Sub(f.decayed)
-	if passed < decayStep && passed >= 0 {
+	elapsed := now.Sub(f.decayedAt)
+	if elapsed < minDecayInterval && elapsed >= 0 {
 		return
 	}
-	keep := math.Exp(-float64(max(0, passed)) / float64(outcomesLife))
-	for at := range f.asked {
-		f.asked[at] *= keep
-		f.served[at] *= keep
+	factor := math.Exp(-float64(max(0, elapsed)) / float64(outcomeTimeConstant))
+	for index := range f.requested {
+		f.requested[index] *= factor
+		f.granted[index] *= factor
 	}
-	f.decayed = now
+	f.decayedAt = now
 }
 
-// starves reports whether the calls of rank get far fewer slots than others.
-func (f *fairness) starves(now time.Time, rank int) bool {
+// isStarving reports whether the grant rate of rank is far below the overall one.
+func (f *fairness) isStarving(now time.Time, rank int) bool {
 	f.decay(now)
-	if f.asked[rank] < outcomesMin {
+	if f.requested[rank] < minOutcomes {
 		return false
 	}
-	return f.rate(rank) < starving*f.rate(0)
+	return f.grantRate(rank) < starvationRatio*f.grantRate(0)
 }
 
-// rate is the part of the calls of rank that got a slot.
-func (f *fairness) rate(rank int) float64 { return f.served[rank] / f.asked[rank] }
+// grantRate returns the fraction of the calls of rank that got a slot.
+func (f *fairness) grantRate(rank int) float64 { return f.granted[rank] / f.requested[rank] }
 
-// turn returns the rank that gets the next slot: the most urgent one, and now
-// and then the one that starves most.
-func (f *fairness) turn(now time.Time, q *queue) int {
-	top := q.top()
-	f.turns++
-	if f.turns < turnEvery {
+// nextRank returns the rank that gets the next slot: the most urgent rank with a
+// waiting call, or at most once in starvedGrantInterval slots the starving rank
+// with the lowest grant rate.
+func (f *fairness) nextRank(now time.Time, q *queue) int {
+	top := q.topRank()
+	f.sinceStarvedGrant++
+	if f.sinceStarvedGrant < starvedGrantInterval {
 		return top
 	}
 	worst := top
-	for rank := top + 1; rank <= RankMax; rank++ {
-		if q.count(rank) > 0 && f.starves(now, rank) && (worst == top || f.rate(rank) < f.rate(worst)) {
+	for rank := top + 1; rank <= MaxRank; rank++ {
+		if q.count(rank) > 0 && f.isStarving(now, rank) && (worst == top || f.grantRate(rank) < f.grantRate(worst)) {
 			worst = rank
 		}
 	}
 	if worst != top {
-		f.turns = 0
+		f.sinceStarvedGrant = 0
 	}
 	return worst
 }
--- a/node/limiter/limiter.go
+++ b/node/limiter/limiter.go
@@ -1,4 +1,5 @@
-// Package limiter admits calls to the upstream beside this node.
+// Package limiter limits the concurrent calls to the upstream beside this node and
+// queues the excess calls by priority.
 package limiter
 
 import (
@@ -7,84 +8,87 @@
 	"time"
 )
 
-// Reasons of refusals. None of these calls was started.
+// Reasons for refusals. A refused call has not been started.
 const (
-	// Full means that the queue has no room, Shed that a call of a more urgent
-	// rank took the place.
-	Full = "queue-full"
+	// QueueFull means that the queue has no place left.
+	QueueFull = "queue-full"
+	// Shed means that the call's place in the queue went to a more urgent call.
 	Shed = "shed"
-	// Busy means that the wait for a slot is expected to be, or has been, too
-	// long for the call.
+	// Busy means that the wait for a slot is expected to exceed, or has exceeded,
+	// the time that the call may wait.
 	Busy     = "busy"
 	Expired  = "deadline"
 	Canceled = "canceled"
 )
 
 const (
-	// runReserve is the part of the mean run time that has to be left before the
-	// deadline when a call is expected to start.
-	runReserve = 1.0
-	// runLeast is the part below which a call is not started any more: hardly any
-	// call is that much faster than the mean, and it would take a slot for nothing.
-	runLeast = 0.1
-	// objectiveRuns is the number of mean run times that a wait leaves of the
-	// objective: most calls take less, and so end in time. With longer waits the
-	// same number of calls is served under overload, and most of them late.
-	objectiveRuns = 2
-	// objectiveLeast and objectiveMost bound the wait as parts of the objective,
-	// for upstreams that are slow and for those that are not known yet.
-	objectiveLeast = 0.15
-	objectiveMost  = 0.4
+	// runTimeReserve is the fraction of the mean run time that has to remain before
+	// the deadline when a call is expected to start.
+	runTimeReserve = 1.0
+	// minRunTimeFraction is the fraction of the mean run time that has to remain
+	// before the deadline when a call starts. Hardly any call is faster, so a later
+	// start would waste a slot.
+	minRunTimeFraction = 0.1
+	// objectiveReserveRuns is the number of mean run times that has to remain of
+	// the objective after the wait. Most calls take less time and meet their
+	// objective. Longer waits serve the same number of calls under overload, but
+	// most of them late.
+	objectiveReserveRuns = 2
+	// minWaitFraction and maxWaitFraction bound the wait to fractions of the
+	// objective, for slow upstreams and for those whose run times are unknown.
+	minWaitFraction = 0.15
+	maxWaitFraction = 0.4
 )
 
-// Request describes a call that asks for a slot.
+// Request describes a call that requests a slot.
 type Request struct {
-	// Rank orders the waiting calls, 1 first and RankMax last.
+	// Rank is the priority of the call, from 1 (first) to MaxRank (last).
 	Rank int
-	// Deadline is zero for none.
+	// Deadline is the time by which the call must end; zero means none.
 	Deadline time.Time
-	// Objective is the latency within which a response has its full value; zero
+	// Objective is the latency within which a response has its newFullLimiter value; zero
 	// means none.
 	Objective time.Duration
-	// Arrived is when the call entered the fleet; zero means now. Calls of a rank
-	// start in the order in which their objectives end.
+	// Arrived is the time when the call entered the fleet; zero means now. Calls of
+	// one rank start in the order in which their objectives end.
 	Arrived time.Time
-	// Nested says that an upstream makes the call while it runs another one. It
-	// goes before the others of its rank, since a slot is held while it waits.
+	// Nested says that an upstream makes the call while it runs another call.
+	// Nested calls start before the others of their rank, since the outer call
+	// holds a slot while they wait.
 	Nested bool
 }
 
-// Refusal is why a call was not admitted; it is zero for an admitted call.
+// Refusal says why a call was not admitted; it is zero for an admitted call.
 type Refusal struct {
 	Reason string
-	// After is the time after which capacity is expected; zero means unknown.
+	// After is the time until capacity is expected; zero means unknown.
 	After time.Duration
 }
 
-// Limits bound the work at an upstream.
+// Limits bound the running and waiting calls of an upstream.
 type Limits struct {
 	Slots       int
 	Queue       int
 	Connections int
 }
 
-// running is the number of calls that may run at once: a call occupies a
-// connection, so that both limits apply.
-func (l Limits) running() int {
+// maxRunning returns the number of calls that may run at once. Each running call
+// occupies a connection, so both limits apply.
+func (l Limits) maxRunning() int {
 	if l.Connections > 0 {
 		return min(l.Slots, l.Connections)
 	}
 	return l.Slots
 }
 
-// Load is the work at an upstream.
+// Load is the current load of an upstream.
 type Load struct {
 	Running int
 	Queued  int
 	Slots   int
 }
 
-// Limiter holds the slots of one upstream and the queue in front of them.
+// Limiter grants the slots of one upstream and queues calls that wait for one.
 type Limiter struct {
 	// Now is the clock that decides which waiting calls have expired when a
 	// slot becomes free.
@@ -92,37 +96,37 @@
 
 	mutex    sync.Mutex
 	limits   Limits
-	running  map[*run]struct{}
+	running  map[*runningCall]struct{}
 	queue    queue
-	estimate estimate
+	runTimes runTimes
 	fairness fairness
-	// timer ends the waits that take too long; due is when it fires next.
-	timer *time.Timer
-	due   time.Time
+	// timer expires waits that take too long; timerDue is when it fires next.
+	timer    *time.Timer
+	timerDue time.Time
 }
 
-// run is a call that holds a slot.
-type run struct {
-	work  work
-	began time.Time
+// runningCall is a call that holds a slot.
+type runningCall struct {
+	kind      callKind
+	startedAt time.Time
 }
 
 // New returns a limiter that reads the time from the system clock.
 func New(limits Limits) *Limiter {
-	return &Limiter{Now: time.Now, limits: limits, running: map[*run]struct{}{}}
+	return &Limiter{Now: time.Now, limits: limits, running: map[*runningCall]struct{}{}}
 }
 
-// Acquire waits for a slot. It returns a function that gives the slot back, or
-// the reason why the call must not start.
-func (l *Limiter) Acquire(ctx context.Context, now time.Time, want Request) (func(), Refusal) {
-	if expired(now, want.Deadline) {
+// Acquire waits for a slot. It returns a function that releases the slot, or the
+// reason why the call must not start.
+func (l *Limiter) Acquire(ctx context.Context, now time.Time, request Request) (func(), Refusal) {
+	if expired(now, request.Deadline) {
 		return nil, Refusal{Reason: Expired}
 	}
 	if ctx.Err() != nil {
-		return nil, l.ended(want.Deadline)
+		return nil, l.endRefusal(request.Deadline)
 	}
-	w := newWaiter(now, want)
-	if refusal := l.enter(now, w); refusal.Reason != "" {
+	w := newWaiter(now, request)
+	if refusal := l.admit(now, w); refusal.Reason != "" {
 		return nil, refusal
 	}
 	return l.wait(ctx, w)
@@ -132,236 +136,241 @@
 func (l *Limiter) Load() Load {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return Load{Running: len(l.running), Queued: l.queue.length, Slots: l.limits.running()}
+	return Load{Running: len(l.running), Queued: l.queue.length, Slots: l.limits.maxRunning()}
 }
 
-// MeanRunTime returns the mean time for which recent calls of the same rank and objective
-// held a slot, or zero if none has ended.
+// MeanRunTime returns the mean time for which recent calls of the rank and
+// objective held a slot, or zero if no such call has ended.
 func (l *Limiter) MeanRunTime(rank int, objective time.Duration) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.estimate.ran(newWork(rank, objective))
+	return l.runTimes.observed(newCallKind(rank, objective))
 }
 
 // Resize sets new limits. Running calls continue; waiting calls beyond a
-// smaller queue are shed, lowest rank first.
+// smaller queue are shed, the least urgent rank first.
 func (l *Limiter) Resize(limits Limits) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.Now()
 	l.limits = limits
-	l.grant(now)
+	l.grantSlots(now)
 	for l.queue.length > limits.Queue {
-		l.refuse(now, l.queue.newest(func(int) bool { return true }), Shed)
+		l.refuse(now, l.queue.tail(func(int) bool { return true }), Shed)
 	}
 }
 
-// enter grants a slot to w, queues it or refuses it.
-func (l *Limiter) enter(now time.Time, w *waiter) Refusal {
+// admit grants a slot to w, queues it or refuses it.
+func (l *Limiter) admit(now time.Time, w *waiter) Refusal {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	w.late = l.misses(now, w)
-	if l.expires(now, w) {
-		l.fairness.count(now, w.rank, false)
+	w.late = l.missesObjective(now, w)
+	if l.missesDeadline(now, w) {
+		l.fairness.record(now, w.rank, false)
 		return Refusal{Reason: Expired}
 	}
-	if len(l.running) < l.limits.running() && l.queue.length == 0 {
+	if len(l.running) < l.limits.maxRunning() && l.queue.length == 0 {
 		l.start(now, w)
 		return Refusal{}
 	}
-	wait := l.expected(now, w)
-	bound, bounded := l.bound(now, w)
+	wait := l.expectedWait(now, w)
+	bound, bounded := l.maxWait(now, w)
 	if bounded && wait > bound {
-		l.fairness.count(now, w.rank, false)
+		l.fairness.record(now, w.rank, false)
 		return Refusal{Reason: Busy, After: wait}
 	}
 	if l.queue.length >= l.limits.Queue {
 		victim := l.victim(now, w)
 		if victim == nil {
-			l.fairness.count(now, w.rank, false)
-			return Refusal{Reason: Full, After: wait}
+			l.fairness.record(now, w.rank, false)
+			return Refusal{Reason: QueueFull, After: wait}
 		}
 		l.refuse(now, victim, Shed)
 	}
 	if bounded {
-		w.until = now.Add(bound)
+		w.waitDeadline = now.Add(bound)
 	}
 	l.queue.push(w)
-	l.schedule(now)
+	l.scheduleExpiry(now)
 	return Refusal{}
 }
 
-// victim returns the waiting call that gives its place to w, or nil. A rank
-// that starves keeps one place, and gets one that another rank has to spare.
+// victim returns the waiting call to shed in favor of w, or nil. The only waiting
+// call of a starving rank is not shed, and a starving rank without a waiting call
+// may displace a call of any other rank.
 func (l *Limiter) victim(now time.Time, w *waiter) *waiter {
-	spare := func(rank int) bool { return l.queue.count(rank) > 1 || !l.fairness.starves(now, rank) }
+	evictable := func(rank int) bool { return l.queue.count(rank) > 1 || !l.fairness.isStarving(now, rank) }
 	if l.limits.Queue == 0 {
 		return nil
 	}
-	if victim := l.queue.newest(func(rank int) bool { return rank > w.rank && spare(rank) }); victim != nil {
+	if victim := l.queue.tail(func(rank int) bool { return rank > w.rank && evictable(rank) }); victim != nil {
 		return victim
 	}
-	if l.queue.count(w.rank) == 0 && l.fairness.starves(now, w.rank) {
-		if victim := l.queue.newest(func(rank int) bool { return l.queue.count(rank) > 1 }); victim != nil {
+	if l.queue.count(w.rank) == 0 && l.fairness.isStarving(now, w.rank) {
+		if victim := l.queue.tail(func(rank int) bool { return l.queue.count(rank) > 1 }); victim != nil {
 			return victim
 		}
-		return l.queue.newest(spare)
+		return l.queue.tail(evictable)
 	}
 	return nil
 }
 
-// bound returns how long w may wait, if there is a limit.
-func (l *Limiter) bound(now time.Time, w *waiter) (time.Duration, bool) {
+// maxWait returns how long w may wait, and whether its wait is bounded.
+func (l *Limiter) maxWait(now time.Time, w *waiter) (time.Duration, bool) {
 	var bound time.Duration
 	bounded := false
-	if !w.want.Deadline.IsZero() {
-		bound, bounded = w.want.Deadline.Sub(now)-scale(l.estimate.work(w.work), runReserve), true
+	if !w.request.Deadline.IsZero() {
+		bound, bounded = w.request.Deadline.Sub(now)-scale(l.runTimes.forKind(w.callKind), runTimeReserve), true
 	}
-	objective := w.want.Objective
+	objective := w.request.Objective
 	if objective <= 0 {
 		return bound, bounded
 	}
-	wait := w.due().Sub(now) - objectiveRuns*l.estimate.work(w.work)
-	wait = min(max(wait, scale(objective, objectiveLeast)), scale(objective, objectiveMost))
+	wait := w.objectiveDeadline().Sub(now) - objectiveReserveRuns*l.runTimes.forKind(w.callKind)
+	wait = min(max(wait, scale(objective, minWaitFraction)), scale(objective, maxWaitFraction))
 	if !bounded || wait < bound {
 		bound, bounded = wait, true
 	}
 	return bound, bounded
 }
 
-// expected returns the time until w gets a slot if it waits: the calls before
-// it start one after the other as slots become free.
-func (l *Limiter) expected(now time.Time, w *waiter) time.Duration {
-	var work time.Duration
-	before := 0
+// expectedWait returns the expected time until w gets a slot: the calls ahead of it
+// start one after the other as slots become free.
+func (l *Limiter) expectedWait(now time.Time, w *waiter) time.Duration {
+	var total time.Duration
+	ahead := 0
 	for rank := 1; rank <= w.rank; rank++ {
-		count := l.queue.ahead(rank, w)
-		before += count
-		work += time.Duration(count) * l.estimate.rank(rank)
-	}
-	if l.fairness.starves(now, w.rank) {
-		// Its turn comes at least once in turnEvery slots.
-		turn := turnEvery * (l.queue.ahead(w.rank, w) + 1)
-		if turn < before {
-			work = time.Duration(turn) * l.estimate.all.value
+		count := l.queue.countAhead(rank, w)
+		ahead += count
+		total += time.Duration(count) * l.runTimes.forRank(rank)
+	}
+	if l.fairness.isStarving(now, w.rank) {
+		// A starving rank gets at least one in starvedGrantInterval slots.
+		slots := starvedGrantInterval * (l.queue.countAhead(w.rank, w) + 1)
+		if slots < ahead {
+			total = time.Duration(slots) * l.runTimes.all.value
 		}
 	}
-	return l.remainder(now) + work/time.Duration(max(1, l.limits.running()))
+	return l.timeToFreeSlot(now) + total/time.Duration(max(1, l.limits.maxRunning()))
 }
 
-// remainder returns the time until the first running call is expected to end.
-// One that has run for longer than the mean counts with a part of it, since
-// nothing is known of its end.
-func (l *Limiter) remainder(now time.Time) time.Duration {
-	if len(l.running) < l.limits.running() {
+// timeToFreeSlot returns the expected time until the first running call ends. The
+// estimate for a call is at least a quarter of the mean run time, since nothing is
+// known about the end of a call that has run for longer than the mean.
+func (l *Limiter) timeToFreeSlot(now time.Time) time.Duration {
+	if len(l.running) < l.limits.maxRunning() {
 		return 0
 	}
-	least := time.Duration(-1)
+	shortest := time.Duration(-1)
 	for r := range l.running {
-		mean := l.estimate.work(r.work)
-		left := max(mean-now.Sub(r.began), mean/4)
-		if least < 0 || left < least {
-			least = left
+		mean := l.runTimes.forKind(r.kind)
+		remaining := max(mean-now.Sub(r.startedAt), mean/4)
+		if shortest < 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
-	return max(0, least)
+	return max(0, shortest)
 }
 
-// misses reports whether w is expected to miss its objective even without a wait.
-func (l *Limiter) misses(now time.Time, w *waiter) bool {
-	return w.want.Objective > 0 && now.Add(l.estimate.work(w.work)).After(w.due())
+// missesObjective reports whether w is expected to miss its objective even if it
+// starts at once.
+func (l *Limiter) missesObjective(now time.Time, w *waiter) bool {
+	return w.request.Objective > 0 && now.Add(l.runTimes.forKind(w.callKind)).After(w.objectiveDeadline())
 }
 
-// expires reports whether w can't meet its deadline any more.
-func (l *Limiter) expires(now time.Time, w *waiter) bool {
-	return !w.want.Deadline.IsZero() && w.want.Deadline.Sub(now) <= scale(l.estimate.work(w.work), runLeast)
+// missesDeadline reports whether w can no longer meet its deadline.
+func (l *Limiter) missesDeadline(now time.Time, w *waiter) bool {
+	return !w.request.Deadline.IsZero() && w.request.Deadline.Sub(now) <= scale(l.runTimes.forKind(w.callKind), minRunTimeFraction)
 }
 
-// refuse takes w out of the queue.
+// refuse removes w from the queue and refuses it with reason.
 func (l *Limiter) refuse(now time.Time, w *waiter, reason string) {
 	l.queue.remove(w)
-	l.fairness.count(now, w.rank, false)
+	l.fairness.record(now, w.rank, false)
 	refusal := Refusal{Reason: reason}
 	if reason != Expired {
-		refusal.After = l.expected(now, w)
+		refusal.After = l.expectedWait(now, w)
 	}
-	w.settled <- refusal
+	w.decision <- refusal
 }
 
-// start gives a slot to w.
+// start grants a slot to w.
 func (l *Limiter) start(now time.Time, w *waiter) {
-	w.run = &run{work: w.work, began: now}
-	l.running[w.run] = struct{}{}
-	l.fairness.count(now, w.rank, true)
-	w.settled <- Refusal{}
+	w.running = &runningCall{kind: w.callKind, startedAt: now}
+	l.running[w.running] = struct{}{}
+	l.fairness.record(now, w.rank, true)
+	w.decision <- Refusal{}
 }
 
-// schedule sets the timer for the first wait that will be too long.
-func (l *Limiter) schedule(now time.Time) {
-	first := l.queue.first()
-	if first.IsZero() || first.Equal(l.due) {
+// scheduleExpiry sets the timer to the earliest wait deadline.
+func (l *Limiter) scheduleExpiry(now time.Time) {
+	first := l.queue.earliestWaitDeadline()
+	if first.IsZero() || first.Equal(l.timerDue) {
 		return
 	}
-	l.due = first
+	l.timerDue = first
 	if l.timer == nil {
-		l.timer = time.AfterFunc(first.Sub(now), func() { l.expire(l.Now()) })
+		l.timer = time.AfterFunc(first.Sub(now), func() { l.expireWaits(l.Now()) })
 		return
 	}
 	l.timer.Reset(first.Sub(now))
 }
 
-// expire refuses the calls that have waited for too long.
-func (l *Limiter) expire(now time.Time) {
+// expireWaits refuses the calls whose wait deadline has passed.
+func (l *Limiter) expireWaits(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.due = time.Time{}
+	l.timerDue = time.Time{}
 	for _, w := range l.queue.overdue(now) {
 		reason := Busy
-		if l.expires(now, w) || expired(now, w.want.Deadline) {
+		if l.missesDeadline(now, w) || expired(now, w.request.Deadline) {
 			reason = Expired
 		}
 		l.refuse(now, w, reason)
 	}
-	l.schedule(now)
+	l.scheduleExpiry(now)
 }
 
+// wait blocks until w has a decision or ctx ends.
 func (l *Limiter) wait(ctx context.Context, w *waiter) (func(), Refusal) {
 	select {
-	case refusal := <-w.settled:
-		return l.granted(ctx, w, refusal)
+	case refusal := <-w.decision:
+		return l.acceptGrant(ctx, w, refusal)
 	case <-ctx.Done():
 	}
 	l.mutex.Lock()
-	left := l.queue.remove(w)
+	removed := l.queue.remove(w)
 	l.mutex.Unlock()
-	if left {
-		return nil, l.ended(w.want.Deadline)
+	if removed {
+		return nil, l.endRefusal(w.request.Deadline)
 	}
-	return l.granted(ctx, w, <-w.settled)
+	return l.acceptGrant(ctx, w, <-w.decision)
 }
 
-// granted gives a slot back when the call ended between the grant and now, so
-// that an expired call is not started.
-func (l *Limiter) granted(ctx context.Context, w *waiter, refusal Refusal) (func(), Refusal) {
+// acceptGrant returns the decision on w. It releases a granted slot if the call has
+// ended since the grant, so that an expired call is not started.
+func (l *Limiter) acceptGrant(ctx context.Context, w *waiter, refusal Refusal) (func(), Refusal) {
 	if refusal.Reason != "" {
 		return nil, refusal
 	}
-	if ctx.Err() != nil || expired(l.Now(), w.want.Deadline) {
-		l.end(w.run, false)
-		return nil, l.ended(w.want.Deadline)
+	if ctx.Err() != nil || expired(l.Now(), w.request.Deadline) {
+		l.release(w.running, false)
+		return nil, l.endRefusal(w.request.Deadline)
 	}
-	return func() { l.end(w.run, true) }, Refusal{}
+	return func() { l.release(w.running, true) }, Refusal{}
 }
 
-func (l *Limiter) ended(deadline time.Time) Refusal {
+// endRefusal returns the refusal of a call whose context has ended.
+func (l *Limiter) endRefusal(deadline time.Time) Refusal {
 	if expired(l.Now(), deadline) {
 		return Refusal{Reason: Expired}
 	}
 	return Refusal{Reason: Canceled}
 }
 
-// end gives a slot back once. The time counts unless the call was not started.
-func (l *Limiter) end(r *run, started bool) {
+// release frees the slot of r; further calls for the same r do nothing. The run time
+// is recorded only if the call was started.
+func (l *Limiter) release(r *runningCall, started bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if _, ok := l.running[r]; !ok {
@@ -370,16 +379,17 @@
 	delete(l.running, r)
 	now := l.Now()
 	if started {
-		l.estimate.add(r.work, now.Sub(r.began))
+		l.runTimes.add(r.kind, now.Sub(r.startedAt))
 	}
-	l.grant(now)
+	l.grantSlots(now)
 }
 
-// grant hands free slots to waiting calls that can still meet their deadlines.
-func (l *Limiter) grant(now time.Time) {
-	for len(l.running) < l.limits.running() && l.queue.length > 0 {
-		next := l.queue.oldest(l.fairness.turn(now, &l.queue))
-		if l.expires(now, next) {
+// grantSlots grants free slots to waiting calls that can still meet their
+// deadlines, and refuses the others as their turn comes.
+func (l *Limiter) grantSlots(now time.Time) {
+	for len(l.running) < l.limits.maxRunning() && l.queue.length > 0 {
+		next := l.queue.head(l.fairness.nextRank(now, &l.queue))
+		if l.missesDeadline(now, next) {
 			l.refuse(now, next, Expired)
 			continue
 		}
@@ -392,4 +402,4 @@
 	return !deadline.IsZero() && !now.Before(deadline)
 }
 
-func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
--- a/node/limiter/limiter_test.go
+++ b/node/limiter/limiter_test.go
@@ -10,20 +10,21 @@
 
 var start = time.Unix(1000, 0)
 
-// Ranks of the classes.
+// Default ranks of the traffic classes.
 const interactive, bulk, background = 4, 8, 12
 
-// arrival is a call that asks for a slot in a goroutine of its own.
-type arrival struct {
+// pendingCall is a call that requests a slot in a goroutine of its own.
+type pendingCall struct {
 	release func()
 	refusal Refusal
 	done    chan struct{}
 }
 
-// arrive starts Acquire and waits until the call is in the queue or decided.
-func arrive(ctx context.Context, l *Limiter, want Request) *arrival {
+// acquireAsync starts Acquire in a goroutine and returns when the call is queued or
+// decided.
+func acquireAsync(ctx context.Context, l *Limiter, want Request) *pendingCall {
 	before := l.Load().Queued
-	a := &arrival{done: make(chan struct{})}
+	a := &pendingCall{done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
 		a.release, a.refusal = l.Acquire(ctx, l.Now(), want)
@@ -41,25 +42,27 @@
 	}
 }
 
-func (a *arrival) wait() string {
+func (a *pendingCall) wait() string {
 	<-a.done
 	return a.refusal.Reason
 }
 
-// full returns a limiter at a fixed time with all slots taken.
-func full(limits Limits) (*Limiter, []func()) {
+// newFullLimiter returns a limiter with a fixed clock and all slots taken, and the
+// functions that release the slots.
+func newFullLimiter(limits Limits) (*Limiter, []func()) {
 	l := New(limits)
 	l.Now = func() time.Time { return start }
-	var held []func()
-	for range limits.running() {
+	var releases []func()
+	for range limits.maxRunning() {
 		release, _ := l.Acquire(context.Background(), start, Request{Rank: background})
-		held = append(held, release)
+		releases = append(releases, release)
 	}
-	return l, held
+	return l, releases
 }
 
-// Guards the order in which load is shed: background before bulk before
-// interactive, and never a call of the same class for another.
+// TestShed guards against calls shed in the wrong order: background calls are shed
+// before bulk calls, bulk before interactive ones, and no call displaces a call of
+// its own class.
 func TestShed(t *testing.T) {
 	const i, b, g = interactive, bulk, background
 	cases := map[string]struct {
@@ -72,21 +75,21 @@
 		"bulk gives way to interactive":         {[2]int{i, b}, i, 1, Shed},
 		"background gives way to bulk":          {[2]int{i, g}, b, 1, Shed},
 		"the newest of a class gives way":       {[2]int{g, g}, i, 1, Shed},
-		"bulk does not displace interactive":    {[2]int{i, i}, b, 2, Full},
-		"interactive does not displace its own": {[2]int{i, i}, i, 2, Full},
-		"background does not displace its own":  {[2]int{b, g}, g, 2, Full},
+		"bulk does not displace interactive":    {[2]int{i, i}, b, 2, QueueFull},
+		"interactive does not displace its own": {[2]int{i, i}, i, 2, QueueFull},
+		"background does not displace its own":  {[2]int{b, g}, g, 2, QueueFull},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l, held := full(Limits{Slots: 1, Queue: 2})
+			l, releases := newFullLimiter(Limits{Slots: 1, Queue: 2})
 			ctx, cancel := context.WithCancel(context.Background())
-			var calls []*arrival
+			var calls []*pendingCall
 			for _, rank := range append(c.queued[:], c.arriving) {
-				// A displaced call leaves the length of the queue unchanged, so the
-				// last arrival is not awaited in the queue.
+				// The last call may displace another one and leave the queue length
+				// unchanged, so acquireAsync can't be used to wait for it.
 				if len(calls) == 2 {
-					a := &arrival{done: make(chan struct{})}
+					a := &pendingCall{done: make(chan struct{})}
 					go func() {
 						defer close(a.done)
 						a.release, a.refusal = l.Acquire(ctx, start, Request{Rank: rank})
@@ -94,7 +97,7 @@
 					calls = append(calls, a)
 					continue
 				}
-				calls = append(calls, arrive(ctx, l, Request{Rank: rank}))
+				calls = append(calls, acquireAsync(ctx, l, Request{Rank: rank}))
 			}
 			is.Equal(calls[c.refused].wait(), c.refusal)
 			is.Equal(l.Load().Queued, 2)
@@ -104,21 +107,21 @@
 					is.Equal(a.wait(), Canceled)
 				}
 			}
-			held[0]()
+			releases[0]()
 			is.Equal(l.Load(), Load{Slots: 1})
 		})
 	}
 }
 
-// Guards against a start of a call whose deadline passed in the queue, and
-// against a slot that is lost with it.
+// TestExpiredIsNotStarted guards against starting a call whose deadline passed in
+// the queue, and against losing the slot that it was granted.
 func TestExpiredIsNotStarted(t *testing.T) {
 	is := is.New(t)
-	l, held := full(Limits{Slots: 1, Queue: 2})
-	late := arrive(context.Background(), l, Request{Rank: interactive, Deadline: start.Add(time.Second)})
-	next := arrive(context.Background(), l, Request{Rank: background, Deadline: start.Add(time.Hour)})
+	l, releases := newFullLimiter(Limits{Slots: 1, Queue: 2})
+	late := acquireAsync(context.Background(), l, Request{Rank: interactive, Deadline: start.Add(time.Second)})
+	next := acquireAsync(context.Background(), l, Request{Rank: background, Deadline: start.Add(time.Hour)})
 	l.Now = func() time.Time { return start.Add(time.Second) }
-	held[0]()
+	releases[0]()
 	is.Equal(late.wait(), Expired)
 	is.Equal(next.wait(), "")
 	is.Equal(l.Load(), Load{Running: 1, Slots: 1})
@@ -126,17 +129,18 @@
 	is.Equal(refusal.Reason, Expired)
 }
 
-// Guards the limits: slots and connections both bound the running calls, a slot
-// is given back once, the order within a class is that of arrival.
+// TestLimits guards against running more calls than slots or connections permit,
+// against releasing a slot twice, and against starting the calls of a class out of
+// the order of arrival.
 func TestLimits(t *testing.T) {
 	is := is.New(t)
-	l, held := full(Limits{Slots: 6, Queue: 3, Connections: 2})
-	is.Equal(len(held), 2)
-	first := arrive(context.Background(), l, Request{Rank: bulk})
-	second := arrive(context.Background(), l, Request{Rank: bulk})
-	urgent := arrive(context.Background(), l, Request{Rank: interactive})
-	held[0]()
-	held[0]()
+	l, releases := newFullLimiter(Limits{Slots: 6, Queue: 3, Connections: 2})
+	is.Equal(len(releases), 2)
+	first := acquireAsync(context.Background(), l, Request{Rank: bulk})
+	second := acquireAsync(context.Background(), l, Request{Rank: bulk})
+	urgent := acquireAsync(context.Background(), l, Request{Rank: interactive})
+	releases[0]()
+	releases[0]()
 	is.Equal(urgent.wait(), "")
 	is.Equal(l.Load(), Load{Running: 2, Queued: 2, Slots: 2})
 	urgent.release()
--- a/node/limiter/queue.go
+++ b/node/limiter/queue.go
@@ -6,114 +6,117 @@
 	"time"
 )
 
-// RankMax is the last rank; ranks outside of 1 to RankMax count as this one.
-const RankMax = 16
+// MaxRank is the least urgent rank. Ranks outside of 1 to MaxRank count as MaxRank.
+const MaxRank = 16
 
+// waiter is a call that requests a slot.
 type waiter struct {
-	work
-	want Request
-	// late says that the call can't meet its objective any more. It goes after
-	// the calls of its rank that can: under overload each slot for it would make
-	// one of those late as well.
+	callKind
+	request Request
+	// late says that the call can no longer meet its objective. It starts after
+	// the calls of its rank that can, since under overload each slot for a late
+	// call would make another call late.
 	late bool
-	// until is when the wait has become too long; zero means never.
-	until time.Time
-	// settled receives exactly one value, and has room for it.
-	settled chan Refusal
-	// run is set before an empty refusal is sent.
-	run *run
+	// waitDeadline is the time until which the call may wait; zero means no limit.
+	waitDeadline time.Time
+	// decision receives exactly one value and is buffered.
+	decision chan Refusal
+	// running is set before a zero Refusal is sent to decision.
+	running *runningCall
 }
 
-func newWaiter(now time.Time, want Request) *waiter {
-	if want.Arrived.IsZero() {
-		want.Arrived = now
+func newWaiter(now time.Time, request Request) *waiter {
+	if request.Arrived.IsZero() {
+		request.Arrived = now
 	}
-	return &waiter{want: want, work: newWork(want.Rank, want.Objective), settled: make(chan Refusal, 1)}
+	return &waiter{request: request, callKind: newCallKind(request.Rank, request.Objective), decision: make(chan Refusal, 1)}
 }
 
-// clamp returns the rank as which rank counts.
-func clamp(rank int) int {
-	if rank < 1 || rank > RankMax {
-		return RankMax
+// clampRank maps ranks outside of 1 to MaxRank to MaxRank.
+func clampRank(rank int) int {
+	if rank < 1 || rank > MaxRank {
+		return MaxRank
 	}
 	return rank
 }
 
 // queue holds the waiting calls of each rank in the order in which they start:
-// nested calls first, then by the end of their objectives.
+// nested calls first, then calls that can meet their objectives, then by the end
+// of the objective.
 type queue struct {
-	waiters [RankMax + 1][]*waiter
+	waiters [MaxRank + 1][]*waiter
 	length  int
 }
 
 func (q *queue) count(rank int) int { return len(q.waiters[rank]) }
 
-// ahead returns the number of waiting calls of rank that start before w.
-func (q *queue) ahead(rank int, w *waiter) int {
+// countAhead returns the number of waiting calls of rank that start before w.
+func (q *queue) countAhead(rank int, w *waiter) int {
 	if rank < w.rank {
 		return len(q.waiters[rank])
 	}
-	return q.place(w)
+	return q.insertIndex(w)
 }
 
-// place returns the index of w among the calls of its rank.
-func (q *queue) place(w *waiter) int {
+// insertIndex returns the index of w among the calls of its rank.
+func (q *queue) insertIndex(w *waiter) int {
 	waiters := q.waiters[w.rank]
 	at := len(waiters)
-	for at > 0 && before(w, waiters[at-1]) {
+	for at > 0 && startsBefore(w, waiters[at-1]) {
 		at--
 	}
 	return at
 }
 
-func before(a, b *waiter) bool {
-	if a.want.Nested != b.want.Nested {
-		return a.want.Nested
+func startsBefore(a, b *waiter) bool {
+	if a.request.Nested != b.request.Nested {
+		return a.request.Nested
 	}
 	if a.late != b.late {
 		return b.late
 	}
-	return a.due().Before(b.due())
+	return a.objectiveDeadline().Before(b.objectiveDeadline())
 }
 
-// objectiveDefault orders the calls without an objective among the others.
-const objectiveDefault = time.Second
+// defaultObjective stands in for the objective of calls that have none, to order
+// them among the others.
+const defaultObjective = time.Second
 
-// due is when the objective of the call ends.
-func (w *waiter) due() time.Time {
-	return w.want.Arrived.Add(cmp.Or(w.want.Objective, objectiveDefault))
+// objectiveDeadline returns the time at which the objective of the call ends.
+func (w *waiter) objectiveDeadline() time.Time {
+	return w.request.Arrived.Add(cmp.Or(w.request.Objective, defaultObjective))
 }
 
 func (q *queue) push(w *waiter) {
-	q.waiters[w.rank] = slices.Insert(q.waiters[w.rank], q.place(w), w)
+	q.waiters[w.rank] = slices.Insert(q.waiters[w.rank], q.insertIndex(w), w)
 	q.length++
 }
 
-// oldest returns the first call of rank.
-func (q *queue) oldest(rank int) *waiter { return q.waiters[rank][0] }
+// head returns the first waiting call of rank.
+func (q *queue) head(rank int) *waiter { return q.waiters[rank][0] }
 
-// top returns the most urgent rank with a waiting call.
-func (q *queue) top() int {
-	for rank := 1; rank < RankMax; rank++ {
+// topRank returns the most urgent rank with a waiting call.
+func (q *queue) topRank() int {
+	for rank := 1; rank < MaxRank; rank++ {
 		if len(q.waiters[rank]) > 0 {
 			return rank
 		}
 	}
-	return RankMax
+	return MaxRank
 }
 
-// newest returns the last call of the least urgent rank that fits, or nil. It has
-// waited least and is the least likely to meet its deadline.
-func (q *queue) newest(fits func(rank int) bool) *waiter {
-	for rank := RankMax; rank > 0; rank-- {
-		if waiters := q.waiters[rank]; len(waiters) > 0 && fits(rank) {
+// tail returns the last waiting call of the least urgent rank that matches, or nil.
+// That call has waited the least and is the least likely to meet its deadline.
+func (q *queue) tail(matches func(rank int) bool) *waiter {
+	for rank := MaxRank; rank > 0; rank-- {
+		if waiters := q.waiters[rank]; len(waiters) > 0 && matches(rank) {
 			return waiters[len(waiters)-1]
 		}
 	}
 	return nil
 }
 
-// remove takes w out of the queue and reports whether it was there.
+// remove removes w from the queue and reports whether it was queued.
 func (q *queue) remove(w *waiter) bool {
 	at := slices.Index(q.waiters[w.rank], w)
 	if at < 0 {
@@ -124,25 +127,26 @@
 	return true
 }
 
-// first returns when the first wait becomes too long, or zero.
-func (q *queue) first() time.Time {
-	var first time.Time
+// earliestWaitDeadline returns the earliest wait deadline of all waiting calls, or
+// zero if no wait is bounded.
+func (q *queue) earliestWaitDeadline() time.Time {
+	var earliest time.Time
 	for _, waiters := range q.waiters {
 		for _, w := range waiters {
-			if !w.until.IsZero() && (first.IsZero() || w.until.Before(first)) {
-				first = w.until
+			if !w.waitDeadline.IsZero() && (earliest.IsZero() || w.waitDeadline.Before(earliest)) {
+				earliest = w.waitDeadline
 			}
 		}
 	}
-	return first
+	return earliest
 }
 
-// overdue returns the calls whose wait is too long.
+// overdue returns the calls whose wait deadline has passed.
 func (q *queue) overdue(now time.Time) []*waiter {
 	var result []*waiter
 	for _, waiters := range q.waiters {
 		for _, w := range waiters {
-			if expired(now, w.until) {
+			if expired(now, w.waitDeadline) {
 				result = append(result, w)
 			}
 		}
--- a/node/limiter/wait_test.go
+++ b/node/limiter/wait_test.go
@@ -10,23 +10,23 @@
 	"github.com/matryer/is"
 )
 
-// learned returns a full limiter whose slots were all taken at start, and that
-// knows a mean run time.
-func learned(limits Limits, mean time.Duration) (*Limiter, []func()) {
-	l, held := full(limits)
+// newLearnedLimiter returns a limiter whose slots were all taken at start and whose
+// mean run time for interactive calls is known.
+func newLearnedLimiter(limits Limits, mean time.Duration) (*Limiter, []func()) {
+	l, releases := newFullLimiter(limits)
 	for range 20 {
-		l.estimate.add(work{rank: interactive}, mean)
+		l.runTimes.add(callKind{rank: interactive}, mean)
 	}
-	return l, held
+	return l, releases
 }
 
-// Guards against a call that is held although it can't be served in time, one
-// that is refused although it can, and a caller that is told a wrong time.
+// TestEarlyRefusal guards against queueing a call that can't be served in time,
+// refusing one that can, and telling the caller a wrong time to retry.
 func TestEarlyRefusal(t *testing.T) {
 	const ms = time.Millisecond
 	cases := map[string]struct {
 		slots, queued int
-		// nested says that the queued calls go before the others.
+		// nested says that the queued calls are nested and start before the others.
 		nested bool
 		want   Request
 		reason string
@@ -49,17 +49,17 @@
 		"part of the objective":          {slots: 1, queued: 1, nested: true, want: Request{Rank: interactive, Objective: 501 * ms}},
 		"more than this part":            {slots: 1, queued: 1, nested: true, want: Request{Rank: interactive, Objective: 499 * ms}, reason: Busy, after: 200 * ms},
 		"objective, but deadline nearer": {slots: 1, queued: 1, want: Request{Rank: interactive, Objective: time.Hour, Deadline: start.Add(299 * ms)}, reason: Busy, after: 200 * ms},
-		"full queue":                     {slots: 1, queued: 10, want: Request{Rank: interactive}, reason: Full, after: 1100 * ms},
+		"full queue":                     {slots: 1, queued: 10, want: Request{Rank: interactive}, reason: QueueFull, after: 1100 * ms},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l, _ := learned(Limits{Slots: c.slots, Queue: 10}, 100*ms)
+			l, _ := newLearnedLimiter(Limits{Slots: c.slots, Queue: 10}, 100*ms)
 			ctx, cancel := context.WithCancel(context.Background())
 			for range c.queued {
-				arrive(ctx, l, Request{Rank: interactive, Nested: c.nested})
+				acquireAsync(ctx, l, Request{Rank: interactive, Nested: c.nested})
 			}
-			call := arrive(ctx, l, c.want)
+			call := acquireAsync(ctx, l, c.want)
 			if c.reason == "" {
 				is.Equal(l.Load().Queued, c.queued+1)
 				cancel()
@@ -73,8 +73,9 @@
 	}
 }
 
-// Guards against calls that are held until their deadlines because the estimate
-// of the wait was wrong, and against a slot for a call that is too late.
+// TestWaitsEnd guards against calls that stay queued until their deadlines because
+// the expected wait was too short, and against granting a slot to a call that can no
+// longer meet its deadline.
 func TestWaitsEnd(t *testing.T) {
 	const ms = time.Millisecond
 	cases := map[string]struct {
@@ -91,18 +92,18 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l, held := learned(Limits{Slots: 1, Queue: 1}, 100*ms)
-			call := arrive(context.Background(), l, c.want)
+			l, releases := newLearnedLimiter(Limits{Slots: 1, Queue: 1}, 100*ms)
+			call := acquireAsync(context.Background(), l, c.want)
 			if c.freed {
-				// The clock of the queue's timer stands still.
+				// The timer has not expired the wait, since l.Now returned start.
 				l.mutex.Lock()
 				l.Now = func() time.Time { return start.Add(c.at) }
 				l.mutex.Unlock()
-				held[0]()
+				releases[0]()
 			} else {
-				l.expire(start.Add(c.at - ms))
+				l.expireWaits(start.Add(c.at - ms))
 				is.Equal(l.Load().Queued, 1)
-				l.expire(start.Add(c.at))
+				l.expireWaits(start.Add(c.at))
 			}
 			is.Equal(call.wait(), c.reason)
 		})
@@ -113,7 +114,7 @@
 	l := New(Limits{Slots: 1, Queue: 2})
 	_, refusal := l.Acquire(ctx, time.Now(), Request{})
 	is.Equal(refusal, Refusal{})
-	later := arrive(ctx, l, Request{Objective: time.Hour})
+	later := acquireAsync(ctx, l, Request{Objective: time.Hour})
 	began := time.Now()
 	_, refusal = l.Acquire(ctx, began, Request{Objective: 40 * ms}) // by the timer
 	is.Equal(refusal.Reason, Busy)
@@ -123,11 +124,12 @@
 	is.Equal(later.wait(), Canceled)
 }
 
-// Guards the order under overload: no rank is served much less often than a
-// less urgent one, and none falls below a quarter of the overall rate.
+// TestRanksUnderOverload guards against unfair service under overload: no rank is
+// served much less often than a less urgent one, and none falls below a quarter of
+// the overall rate.
 func TestRanksUnderOverload(t *testing.T) {
 	cases := map[string]struct {
-		rates [3]int // calls in the time of 10 runs, by rank 1, 5, 9
+		rates [3]int // calls per 100 ms at ranks 1, 5 and 9
 		queue int
 	}{
 		"alike":            {[3]int{10, 10, 10}, 8},
@@ -143,18 +145,18 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := start
-			var passed atomic.Int64 // read by the queue's timer
+			var elapsed atomic.Int64 // read by the queue's timer
 			l := New(Limits{Slots: 2, Queue: c.queue})
-			l.Now = func() time.Time { return start.Add(time.Duration(passed.Load())) }
+			l.Now = func() time.Time { return start.Add(time.Duration(elapsed.Load())) }
 			random := rand.New(rand.NewPCG(1, 2))
 			ranks := [3]int{1, 5, 9}
 			var asked, served [3]int
 			var waiting []*waiter
-			settle := func() {
+			collectDecisions := func() {
 				var left []*waiter
 				for _, w := range waiting {
 					select {
-					case refusal := <-w.settled:
+					case refusal := <-w.decision:
 						if refusal.Reason == "" {
 							served[(w.rank-1)/4]++
 						}
@@ -164,26 +166,26 @@
 				}
 				waiting = left
 			}
-			// Time goes in steps of a millisecond; a run takes 20, so that the two
-			// slots end one every 10 and each 100 ms has 10 runs.
+			// Each step takes 1 ms and each call 20 ms, so the two slots complete
+			// 10 calls per 100 ms.
 			for range 30_000 {
-				now = start.Add(time.Duration(passed.Add(int64(time.Millisecond))))
-				l.expire(now)
+				now = start.Add(time.Duration(elapsed.Add(int64(time.Millisecond))))
+				l.expireWaits(now)
 				for r := range l.running {
-					if now.Sub(r.began) >= 20*time.Millisecond {
-						l.end(r, true)
+					if now.Sub(r.startedAt) >= 20*time.Millisecond {
+						l.release(r, true)
 					}
 				}
 				for at, rate := range c.rates {
 					if random.Float64() < float64(rate)/100 {
 						asked[at]++
 						w := newWaiter(now, Request{Rank: ranks[at], Objective: 200 * time.Millisecond, Deadline: now.Add(time.Second)})
-						if l.enter(now, w).Reason == "" {
+						if l.admit(now, w).Reason == "" {
 							waiting = append(waiting, w)
 						}
 					}
 				}
-				settle()
+				collectDecisions()
 			}
 			var all, got float64
 			var rates [3]float64
