--- a/node/balancer/balancer.go
+++ b/node/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package balancer selects an upstream for a call by nearness, load and the
+// Package balancer selects an upstream for a call by locality, load and the
 // outcomes of earlier calls.
 package balancer
 
@@ -14,16 +14,16 @@
 // Query describes the instance that an attempt needs.
 type Query struct {
 	Service string
-	// Tried names instances that are not to be picked.
+	// Tried lists the names of instances that must not be picked.
 	Tried []string
-	// Rank is the call's, 1 first.
+	// Rank is the priority of the call; 1 is the most urgent.
 	Rank int
-	// Objective is the call's. Run times are compared between calls of the same
-	// rank and objective.
+	// Objective is the latency objective of the call. Run times are compared
+	// between calls of the same rank and objective.
 	Objective time.Duration
 }
 
-// Load is the work that the node beside an upstream reported.
+// Load is the load of an upstream as reported by the node beside it.
 type Load struct {
 	Running int
 	Queued  int
@@ -33,25 +33,25 @@
 	RunTime time.Duration
 }
 
-// Observation is the end of an attempt at a picked instance.
+// Observation is the outcome of an attempt at a picked instance.
 type Observation struct {
 	Instance string
 	Service  string
 	Result   sycamorerun.Result
 	Reason   string
-	// Status is the upstream's status if it answered.
+	// Status is the HTTP status code if the upstream answered.
 	Status int
-	// Load is nil when the attempt brought no report.
+	// Load is nil if the attempt returned no load report.
 	Load *Load
-	// After is the time after which the instance expects capacity for calls of
-	// Rank; zero means unknown.
+	// After is the time until the instance expects capacity for calls of Rank;
+	// zero means unknown.
 	After time.Duration
-	// Rank and Objective are the call's.
+	// Rank and Objective are those of the call.
 	Rank      int
 	Objective time.Duration
 }
 
-// Chance is the share of the next calls that an instance would get.
+// Chance is the expected share of the next calls that an instance gets.
 type Chance struct {
 	Instance string
 	Tier     int
@@ -71,28 +71,30 @@
 	Warmup func(service string) time.Duration
 	// Random returns a number in [0, 1).
 	Random func() float64
-	// RoundRobin takes the serving instances in turn, whatever their zone,
-	// load and outcomes: the simplest policy, as a baseline to measure against.
+	// RoundRobin picks the serving instances in turn, whatever their zone, load
+	// and outcomes. It is the simplest policy and the baseline for measurements.
 	RoundRobin bool
 
-	turn  uint64
-	mutex sync.Mutex
-	stats map[string]*stats
-	swept time.Time
+	roundRobinIndex uint64
+	mutex           sync.Mutex
+	stats           map[string]*stats
+	sweptAt         time.Time
 }
 
-// New returns a balancer for the calls that enter in an availability zone.
+// New returns a balancer for a node in an availability zone and region.
 func New(availabilityZone, region string) *Balancer {
 	return &Balancer{
 		AvailabilityZone: availabilityZone, Region: region,
 		Warmup: func(string) time.Duration { return 0 },
 		Random: rand.Float64, stats: map[string]*stats{},
-		// Nodes that start together do not begin with the same instance.
-		turn: uint64(rand.Uint32()),
+		// A random start keeps nodes that start together from picking the same
+		// instance first.
+		roundRobinIndex: uint64(rand.Uint32()),
 	}
 }
 
-// Pick chooses an instance and counts a call in flight there until Observe.
+// Pick chooses an instance and counts a call in flight there until Observe is
+// called for it. It reports false if no instance can be picked.
 func (b *Balancer) Pick(now time.Time, query Query) (sycamorerun.Instance, bool) {
 	instances := b.Instances(query.Service)
 	warmup := b.Warmup(query.Service)
@@ -100,24 +102,24 @@
 	defer b.mutex.Unlock()
 	b.sweep(now)
 	if b.RoundRobin {
-		return b.next(instances, query.Tried)
+		return b.nextRoundRobin(instances, query.Tried)
 	}
-	tiers := b.tiers(now, instances, query, warmup)
+	tiers := b.groupByTier(now, instances, query, warmup)
 	tier := tiers.choose(b.Random())
 	if tier == nil {
 		return sycamorerun.Instance{}, false
 	}
 	chosen := tier.pick(b.Random)
 	chosen.stats.inFlight++
-	chosen.stats.used = now
+	chosen.stats.lastUsed = now
 	return chosen.instance, true
 }
 
-// next returns the serving instance whose turn it is.
-func (b *Balancer) next(instances []sycamorerun.Instance, tried []string) (sycamorerun.Instance, bool) {
+// nextRoundRobin returns the next serving instance in round-robin order.
+func (b *Balancer) nextRoundRobin(instances []sycamorerun.Instance, tried []string) (sycamorerun.Instance, bool) {
 	for range instances {
-		b.turn++
-		instance := instances[b.turn%uint64(len(instances))]
+		b.roundRobinIndex++
+		instance := instances[b.roundRobinIndex%uint64(len(instances))]
 		if instance.Serving() && !slices.Contains(tried, instance.Name) {
 			return instance, true
 		}
@@ -125,62 +127,66 @@
 	return sycamorerun.Instance{}, false
 }
 
-// Observe records the end of an attempt.
+// Observe records the outcome of an attempt.
 func (b *Balancer) Observe(now time.Time, observation Observation) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.of(now, observation.Instance).observe(now, observation)
+	b.instanceStats(now, observation.Instance).observe(now, observation)
 }
 
-// Chances returns what Pick would do with the next calls, for explanations.
+// Chances returns the share of the next calls that Pick would send to each
+// instance, for explanations.
 func (b *Balancer) Chances(now time.Time, query Query) []Chance {
 	instances := b.Instances(query.Service)
 	warmup := b.Warmup(query.Service)
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	sorted := b.tiers(now, instances, query, warmup)
-	return sorted.chances()
+	grouped := b.groupByTier(now, instances, query, warmup)
+	return grouped.chances()
 }
 
-// tiers sorts the usable instances by nearness.
-func (b *Balancer) tiers(now time.Time, instances []sycamorerun.Instance, query Query, warmup time.Duration) tiers {
+// groupByTier evaluates the serving instances and groups those that can be picked
+// by tier.
+func (b *Balancer) groupByTier(now time.Time, instances []sycamorerun.Instance, query Query, warmup time.Duration) tieredCandidates {
 	var all []candidate
 	for _, instance := range instances {
 		if !instance.Serving() {
 			continue
 		}
 		all = append(all, candidate{
-			instance: instance, stats: b.of(now, instance.Name), tier: b.tier(instance),
+			instance: instance, stats: b.instanceStats(now, instance.Name), tier: b.tierOf(instance),
 		})
 	}
-	eject(now, all)
-	compare(now, all, work{query.Rank, query.Objective})
-	sorted := tiers{all: all}
+	markEjected(now, all)
+	setSpeeds(now, all, callKind{query.Rank, query.Objective})
+	grouped := tieredCandidates{all: all}
 	var full []*candidate
 	for at := range all {
 		c := &all[at]
 		switch {
-		case c.ejected || now.Before(c.stats.avoided) || slices.Contains(query.Tried, c.instance.Name):
+		case c.ejected || now.Before(c.stats.avoidedUntil) || slices.Contains(query.Tried, c.instance.Name):
 		case c.stats.full(now, query.Rank):
 			full = append(full, c)
 		default:
-			sorted.sets[c.tier].add(c)
+			grouped.tiers[c.tier].add(c)
 		}
 	}
-	if len(sorted.sets[0].candidates)+len(sorted.sets[1].candidates)+len(sorted.sets[2].candidates) == 0 {
-		// An instance knows better than this node whether it is still full.
+	if len(grouped.tiers[0].candidates)+len(grouped.tiers[1].candidates)+len(grouped.tiers[2].candidates) == 0 {
+		// The full instances are the only ones left. They know better than this
+		// node whether they are still full.
 		for _, c := range full {
-			sorted.sets[c.tier].add(c)
+			grouped.tiers[c.tier].add(c)
 		}
 	}
-	for at := range sorted.sets {
-		sorted.sets[at].measure(now, warmup)
+	for at := range grouped.tiers {
+		grouped.tiers[at].evaluate(now, warmup)
 	}
-	return sorted
+	return grouped
 }
 
-// tier is 0 for the own availability zone, 1 for the region, 2 beyond.
-func (b *Balancer) tier(instance sycamorerun.Instance) int {
+// tierOf returns 0 for instances in the availability zone of this node, 1 for
+// others in its region and 2 for other regions.
+func (b *Balancer) tierOf(instance sycamorerun.Instance) int {
 	switch {
 	case instance.AvailabilityZone == b.AvailabilityZone && instance.Region == b.Region:
 		return 0
@@ -191,25 +197,28 @@
 	}
 }
 
-func (b *Balancer) of(now time.Time, name string) *stats {
+// instanceStats returns the statistics of the named instance and creates them if
+// there are none.
+func (b *Balancer) instanceStats(now time.Time, name string) *stats {
 	known, ok := b.stats[name]
 	if !ok {
-		known = &stats{used: now}
+		known = &stats{lastUsed: now}
 		b.stats[name] = known
 	}
 	return known
 }
 
-// forget is the time after which the statistics of an unused instance go.
-const forget = 10 * time.Minute
+// statsRetention is the time after which the statistics of an unused instance are
+// deleted.
+const statsRetention = 10 * time.Minute
 
 func (b *Balancer) sweep(now time.Time) {
-	if now.Sub(b.swept) < forget {
+	if now.Sub(b.sweptAt) < statsRetention {
 		return
 	}
-	b.swept = now
+	b.sweptAt = now
 	for name, known := range b.stats {
-		if known.inFlight == 0 && now.Sub(known.used) > forget {
+		if known.inFlight == 0 && now.Sub(known.lastUsed) > statsRetention {
 			delete(b.stats, name)
 		}
 	}
--- a/node/balancer/balancer_test.go
+++ b/node/balancer/balancer_test.go
@@ -13,18 +13,18 @@
 
 var start = time.Unix(1000, 0)
 
-// member returns a ready instance with 6 slots in zone z of region r.
-func member(name, r, z string) sycamorerun.Instance {
+// newInstance returns a ready instance with 6 slots in zone z of region r.
+func newInstance(name, r, z string) sycamorerun.Instance {
 	return sycamorerun.Instance{
 		Name: name, Region: r, AvailabilityZone: z, State: sycamorerun.StateReady, Slots: 6,
 		Since: start.Add(-time.Hour),
 	}
 }
 
-func group(r, z string, n int) []sycamorerun.Instance {
+func newInstances(r, z string, n int) []sycamorerun.Instance {
 	var instances []sycamorerun.Instance
 	for i := range n {
-		instances = append(instances, member(fmt.Sprint(r, z, i), r, z))
+		instances = append(instances, newInstance(fmt.Sprint(r, z, i), r, z))
 	}
 	return instances
 }
@@ -37,8 +37,9 @@
 	return b
 }
 
-// tally makes n picks at one time. Each ends at once when ending is set.
-func tally(b *Balancer, now time.Time, n int, ending func(name string) Observation) map[string]int {
+// countPicks makes n picks at now and returns their number per instance. If outcome
+// is set, each call ends with it before the next pick.
+func countPicks(b *Balancer, now time.Time, n int, outcome func(name string) Observation) map[string]int {
 	counts := map[string]int{}
 	for range n {
 		picked, ok := b.Pick(now, Query{Service: "s"})
@@ -47,8 +48,8 @@
 			continue
 		}
 		counts[picked.Name]++
-		if ending != nil {
-			observation := ending(picked.Name)
+		if outcome != nil {
+			observation := outcome(picked.Name)
 			observation.Instance = picked.Name
 			b.Observe(now, observation)
 		}
@@ -56,11 +57,11 @@
 	return counts
 }
 
-func fine(string) Observation {
+func success(string) Observation {
 	return Observation{Result: sycamorerun.Answered, Status: 200, Load: &Load{Slots: 6}}
 }
 
-func in(counts map[string]int, instances []sycamorerun.Instance) int {
+func sumOf(counts map[string]int, instances []sycamorerun.Instance) int {
 	total := 0
 	for _, instance := range instances {
 		total += counts[instance.Name]
@@ -68,13 +69,13 @@
 	return total
 }
 
-// Guards against an upstream that is said to be cold and gets the share of a
-// warm one, because the service has a shorter slow start, or none.
+// TestCold guards against giving a cold upstream the share of a warm one because the
+// service has a shorter slow start, or none.
 func TestCold(t *testing.T) {
 	for name, warmup := range map[string]time.Duration{"no slow start": 0, "short slow start": time.Second} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			all := group("r1", "z1", 2)
+			all := newInstances("r1", "z1", 2)
 			all[0].State, all[0].Since = sycamorerun.StateCold, start.Add(-2*time.Second)
 			b := newBalancer(all)
 			b.Warmup = func(string) time.Duration { return warmup }
@@ -87,17 +88,18 @@
 	}
 }
 
-// Guards nearness: no call leaves the zone while it has capacity, the overflow
-// rises with the load and not all at once, and goes to the region first.
-func TestSpill(t *testing.T) {
-	near, region, beyond := group("r1", "z1", 2), group("r1", "z2", 2), group("r2", "z1", 2)
+// TestSpillover guards against calls that leave the zone while it has capacity, an
+// abrupt rise of the spillover with the load, and spillover to another region before
+// the same region.
+func TestSpillover(t *testing.T) {
+	near, region, beyond := newInstances("r1", "z1", 2), newInstances("r1", "z2", 2), newInstances("r2", "z1", 2)
 	all := append(append(append([]sycamorerun.Instance{}, near...), region...), beyond...)
 	is := is.New(t)
-	is.Equal(in(tally(newBalancer(all), start, 100, fine), near), 100)
+	is.Equal(sumOf(countPicks(newBalancer(all), start, 100, success), near), 100)
 	previous := 0
 	b := newBalancer(all)
 	for step := range 6 {
-		tally(b, start, 3, nil) // the calls stay in flight
+		countPicks(b, start, 3, nil) // the calls stay in flight
 		away := 0
 		for _, chance := range b.Chances(start, Query{Service: "s"}) {
 			if chance.Tier > 0 {
@@ -105,25 +107,26 @@
 			}
 		}
 		is.True(away >= previous-5)
-		is.True(away-previous <= 60) // a gradual rise
+		is.True(away-previous <= 60) // the rise is gradual
 		if step < 2 {
 			is.Equal(away, 0)
 		}
 		previous = away
 	}
 	is.True(previous > 0)
-	counts := tally(newBalancer(all), start, 18, nil)
-	is.True(in(counts, region) >= in(counts, beyond))
-	is.Equal(in(tally(newBalancer(beyond), start, 10, nil), beyond), 10) // nothing nearer
+	counts := countPicks(newBalancer(all), start, 18, nil)
+	is.True(sumOf(counts, region) >= sumOf(counts, beyond))
+	is.Equal(sumOf(countPicks(newBalancer(beyond), start, 10, nil), beyond), 10) // there is no nearer instance
 }
 
-// Guards against a share of calls that does not follow the load.
+// TestLoad guards against a share of calls that does not follow the reported load,
+// and against picking an instance that was already tried.
 func TestLoad(t *testing.T) {
 	is := is.New(t)
-	instances := group("r1", "z1", 4)
+	instances := newInstances("r1", "z1", 4)
 	b := newBalancer(instances)
 	busy := instances[0].Name
-	counts := tally(b, start, 400, func(name string) Observation {
+	counts := countPicks(b, start, 400, func(name string) Observation {
 		load := &Load{Slots: 6}
 		if name == busy {
 			load.Running = 6
@@ -139,19 +142,19 @@
 	is.Equal(ok, false)
 }
 
-// Guards against a herd onto an upstream that looks idle, by its words or for
-// lack of them, and against belief in a report that is stale.
+// TestNoHerd guards against sending most calls to an upstream that has reported that
+// it is idle, above all when its report is stale.
 func TestNoHerd(t *testing.T) {
 	for name, age := range map[string]time.Duration{"fresh": 0, "stale": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			instances := group("r1", "z1", 5)
+			instances := newInstances("r1", "z1", 5)
 			b := newBalancer(instances)
 			for _, instance := range instances[1:] {
 				b.Observe(start.Add(age), Observation{Instance: instance.Name, Result: sycamorerun.Answered, Load: &Load{Running: 4, Slots: 6}})
 			}
 			b.Observe(start, Observation{Instance: instances[0].Name, Result: sycamorerun.Answered, Load: &Load{Slots: 6}})
-			counts := tally(b, start.Add(age), 10, nil)
+			counts := countPicks(b, start.Add(age), 10, nil)
 			is.True(counts[instances[0].Name] <= 5)
 			if name == "stale" {
 				is.True(counts[instances[0].Name] <= 4)
@@ -160,9 +163,9 @@
 	}
 }
 
-// Guards against an upstream that praises itself while calls to it fail, against
-// an ejection of more than half of a service, and against one of upstreams that
-// fail because all do.
+// TestEjection guards against keeping an upstream that reports to be idle while calls
+// to it fail, against ejecting more than half of a service, and against ejecting
+// upstreams when all of them fail.
 func TestEjection(t *testing.T) {
 	bad := func(names ...string) func(string) Observation {
 		return func(name string) Observation {
@@ -171,10 +174,10 @@
 					return Observation{Result: sycamorerun.Answered, Status: 500, Load: &Load{Slots: 6}}
 				}
 			}
-			return fine(name)
+			return success(name)
 		}
 	}
-	instances := group("r1", "z1", 4)
+	instances := newInstances("r1", "z1", 4)
 	cases := map[string]struct {
 		bad     []string
 		ejected int
@@ -189,7 +192,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBalancer(instances)
-			tally(b, start, 400, bad(c.bad...))
+			countPicks(b, start, 400, bad(c.bad...))
 			ejected := 0
 			for _, chance := range b.Chances(start, Query{}) {
 				if chance.Ejected {
@@ -198,20 +201,20 @@
 				}
 			}
 			is.Equal(ejected, c.ejected)
-			// It returns gradually after the ejection, and at once goes back out.
-			later := start.Add(ejectBase + time.Millisecond)
-			counts := tally(b, later, 100, bad(c.bad...))
+			// After the ejection it gets few calls, and one failure ejects it again.
+			later := start.Add(baseEjectionTime + time.Millisecond)
+			counts := countPicks(b, later, 100, bad(c.bad...))
 			if c.ejected == 1 {
 				is.True(counts["r1z10"] <= 1)
 			}
 		})
 	}
 	is := is.New(t)
-	is.Equal(tally(newBalancer(instances[:1]), start, 20, bad("r1z10"))["r1z10"], 20) // a single one stays
+	is.Equal(countPicks(newBalancer(instances[:1]), start, 20, bad("r1z10"))["r1z10"], 20) // the only instance is not ejected
 }
 
-// Guards against the ejection of an upstream that has too much work, and
-// against one that goes silent and stays.
+// TestRefusals guards against ejecting an upstream that is overloaded, and against
+// keeping one that stops responding.
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct {
 		result  sycamorerun.Result
@@ -229,8 +232,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBalancer(group("r1", "z1", 2))
-			for range 2 * failuresMax {
+			b := newBalancer(newInstances("r1", "z1", 2))
+			for range 2 * maxConsecutiveFailures {
 				b.Observe(start, Observation{Instance: "r1z10", Result: c.result, Reason: c.reason})
 			}
 			for _, chance := range b.Chances(start, Query{Service: "s"}) {
@@ -240,18 +243,19 @@
 	}
 }
 
-// Guards against picks of an instance that has just refused or can't be reached,
-// against ones that avoid it for too long, and against a service without any.
+// TestAvoided guards against picking an instance that has just refused a call or
+// can't be reached, against avoiding it for too long, and against avoiding the only
+// instance of a service.
 func TestAvoided(t *testing.T) {
 	const ms = time.Millisecond
 	refused := func(reason string, after time.Duration, rank int) Observation {
 		return Observation{Result: sycamorerun.NotRun, Reason: reason, After: after, Rank: rank}
 	}
 	cases := map[string]struct {
-		observation Observation
-		times       int
-		rank        int
-		gone, back  time.Duration
+		observation     Observation
+		times           int
+		rank            int
+		avoided, usable time.Duration
 	}{
 		"full":                 {refused("queue-full", 200*ms, 4), 1, 4, 199 * ms, 200 * ms},
 		"busy":                 {refused("busy", 200*ms, 4), 1, 8, 199 * ms, 200 * ms},
@@ -268,12 +272,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBalancer(group("r1", "z1", 4))
+			b := newBalancer(newInstances("r1", "z1", 4))
 			c.observation.Instance = "r1z10"
 			now := start
 			for n := range c.times {
 				if n > 0 {
-					now = now.Add(connectMax)
+					now = now.Add(maxUnreachableTime)
 				}
 				b.Observe(now, c.observation)
 			}
@@ -285,100 +289,103 @@
 				}
 				return -1
 			}
-			if c.gone >= 0 {
+			if c.avoided >= 0 {
 				is.Equal(share(0), 0.0)
-				is.Equal(share(c.gone), 0.0)
+				is.Equal(share(c.avoided), 0.0)
 			}
-			is.True(share(c.back) > 0)
+			is.True(share(c.usable) > 0)
 		})
 	}
 	is := is.New(t)
-	b := newBalancer(group("r1", "z1", 1))
+	b := newBalancer(newInstances("r1", "z1", 1))
 	b.Observe(start, Observation{Instance: "r1z10", Result: sycamorerun.NotRun, Reason: "queue-full", After: time.Second})
 	_, ok := b.Pick(start, Query{Service: "s", Rank: 4})
 	is.True(ok)
 }
 
-// Guards a cold upstream against its full share, and leaving ones against calls.
+// TestStates guards against giving a cold upstream its full share, and against calls
+// to draining upstreams.
 func TestStates(t *testing.T) {
 	is := is.New(t)
-	instances := group("r1", "z1", 3)
+	instances := newInstances("r1", "z1", 3)
 	instances[0].State, instances[0].Since = sycamorerun.StateCold, start
 	instances[1].State = sycamorerun.StateDraining
-	instances = append(instances, member("r1z14", "r1", "z1"))
+	instances = append(instances, newInstance("r1z14", "r1", "z1"))
 	b := newBalancer(instances)
 	b.Warmup = func(string) time.Duration { return 10 * time.Second }
-	cold := tally(b, start, 300, fine)
+	cold := countPicks(b, start, 300, success)
 	is.Equal(cold["r1z11"], 0)
 	is.True(cold["r1z10"] < 60)
-	warm := tally(b, start.Add(10*time.Second), 300, fine)
+	warm := countPicks(b, start.Add(10*time.Second), 300, success)
 	is.True(warm["r1z10"] > cold["r1z10"])
 	b.Observe(start, Observation{Instance: "r1z12", Result: sycamorerun.NotRun, Reason: "draining"})
-	is.Equal(tally(b, start, 50, fine)["r1z12"], 0)
+	is.Equal(countPicks(b, start, 50, success)["r1z12"], 0)
 }
 
-// Guards the statistics against growth, and the count of calls in flight.
+// TestInFlight guards against wrong counts of calls in flight, and against statistics
+// that are never deleted.
 func TestInFlight(t *testing.T) {
 	is := is.New(t)
-	b := newBalancer(group("r1", "z1", 2))
-	tally(b, start, 50, fine)
+	b := newBalancer(newInstances("r1", "z1", 2))
+	countPicks(b, start, 50, success)
 	for _, known := range b.stats {
 		is.Equal(known.inFlight, 0)
 	}
-	b.Instances = func(string) []sycamorerun.Instance { return group("r1", "z9", 1) }
-	tally(b, start.Add(time.Hour), 1, nil)
+	b.Instances = func(string) []sycamorerun.Instance { return newInstances("r1", "z9", 1) }
+	countPicks(b, start.Add(time.Hour), 1, nil)
 	is.Equal(len(b.stats), 1)
 }
 
-// Guards the baseline of the measurements: every serving instance has its
-// turn, whatever is known of it.
+// TestRoundRobin guards against a round-robin policy that does not pick all serving
+// instances equally often. It is the baseline of the measurements.
 func TestRoundRobin(t *testing.T) {
 	is := is.New(t)
-	instances := append(group("r1", "z1", 2), group("r2", "z1", 3)...)
+	instances := append(newInstances("r1", "z1", 2), newInstances("r2", "z1", 3)...)
 	instances[1].State = sycamorerun.StateDraining
 	b := newBalancer(instances)
 	b.RoundRobin = true
-	counts := tally(b, start, 40, fine)
+	counts := countPicks(b, start, 40, success)
 	is.Equal(counts, map[string]int{"r1z10": 10, "r2z10": 10, "r2z11": 10, "r2z12": 10})
 	_, ok := b.Pick(start, Query{Tried: []string{"r1z10", "r2z10", "r2z11", "r2z12"}})
 	is.Equal(ok, false)
 }
 
-// Guards against reports that can't be: one of an idle instance that attracts a
-// herd, and one of a full instance that empties its zone or its service.
+// TestMisleadingReports guards against the effects of false load reports: a falsely
+// idle instance that attracts most calls, and an impossible load that diverts calls
+// from its zone or its service.
 func TestMisleadingReports(t *testing.T) {
-	const absurd = 1 << 20
-	near, region := group("r1", "z1", 20), group("r1", "z2", 20)
+	const impossibleLoad = 1 << 20
+	near, region := newInstances("r1", "z1", 20), newInstances("r1", "z2", 20)
 	all := append(append([]sycamorerun.Instance{}, near...), region...)
-	liar := near[0].Name
+	misreporter := near[0].Name
 	for name, test := range map[string]struct {
-		liar, others int
-		// most is the largest share of the liar, and least the smallest of the
-		// zone.
+		misreporter, others int
+		// most is the largest permitted share of the misreporting instance, least the
+		// smallest permitted share of the zone.
 		most, least float64
 	}{
 		"idle":          {0, 3, 0.12, 0.95},
-		"full":          {absurd, 0, 0.05, 0.95},
-		"all are full":  {absurd, absurd, 0.12, 0.95},
+		"full":          {impossibleLoad, 0, 0.05, 0.95},
+		"all are full":  {impossibleLoad, impossibleLoad, 0.12, 0.95},
 		"all are alike": {2, 2, 0.12, 0.95},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			instances := all
-			if test.others == absurd {
+			if test.others == impossibleLoad {
 				instances = near // The region would take the calls otherwise.
 			}
-			counts := tally(newBalancer(instances), start, 2000, func(name string) Observation {
-				observation := fine(name)
+			counts := countPicks(newBalancer(instances), start, 2000, func(name string) Observation {
+				observation := success(name)
 				observation.Load.Running = test.others
-				if name == liar {
-					observation.Load.Running = test.liar
+				if name == misreporter {
+					observation.Load.Running = test.misreporter
 				}
 				return observation
 			})
 			is.Equal(counts["none"], 0)
-			is.True(float64(counts[liar]) <= 2000*test.most)
-			is.True(float64(in(counts, near)) >= 2000*test.least)
+			is.True(float64(counts[misreporter]) <= 2000*test.most)
+			is.True(float64(sumOf(counts, near)) >= 2000*test.least)
 			for _, instance := range near[1:] {
 				is.True(counts[instance.Name] >= 30) // 100 on average
 			}
--- a/node/balancer/speed.go
+++ b/node/balancer/speed.go
@@ -6,57 +6,58 @@
 )
 
 const (
-	// runLife is the time for which a reported run time counts. While a service
-	// is hardly used, a slow upstream loses every comparison with an idle fast
-	// one; without an end nobody would see that it has recovered.
-	runLife = 10 * time.Second
-	// speedMin and speedMax bound the effect of the run times, which are means of
-	// few calls: an upstream that seems slow still gets calls that show when it
+	// runTimeTTL is the time for which a reported run time is used. In a service
+	// with few calls, a slow upstream loses every comparison with an idle fast
+	// one. If its run time did not expire, its recovery would go unnoticed.
+	runTimeTTL = 10 * time.Second
+	// minSpeed and maxSpeed bound the effect of the run times, which are means of
+	// few calls. An upstream that seems slow still gets calls, which show when it
 	// has recovered.
-	speedMin = 0.25
-	speedMax = 1.5
+	minSpeed = 0.25
+	maxSpeed = 1.5
 )
 
-// work is a kind of calls that are expected to take about the same time.
-type work struct {
+// callKind groups calls that are expected to take about the same time.
+type callKind struct {
 	rank      int
 	objective time.Duration
 }
 
-// worksMax bounds the kinds of work with run times of their own.
-const worksMax = 64
+// maxCallKinds bounds the number of call kinds with run times per instance.
+const maxCallKinds = 64
 
 // runTime is a reported mean run time.
 type runTime struct {
-	mean time.Duration
-	at   time.Time
+	mean       time.Duration
+	reportedAt time.Time
 }
 
-// ran records a reported run time of calls of a kind.
-func (s *stats) ran(now time.Time, w work, mean time.Duration) {
-	if _, ok := s.runs[w]; mean <= 0 || !ok && len(s.runs) >= worksMax {
+// recordRunTime records the reported mean run time of calls of a kind.
+func (s *stats) recordRunTime(now time.Time, kind callKind, mean time.Duration) {
+	if _, ok := s.runTimes[kind]; mean <= 0 || !ok && len(s.runTimes) >= maxCallKinds {
 		return
 	}
-	if s.runs == nil {
-		s.runs = map[work]runTime{}
+	if s.runTimes == nil {
+		s.runTimes = map[callKind]runTime{}
 	}
-	s.runs[w] = runTime{mean: mean, at: now}
+	s.runTimes[kind] = runTime{mean: mean, reportedAt: now}
 }
 
-// run returns the run time of calls of a kind, if it is known.
-func (s *stats) run(now time.Time, w work) (time.Duration, bool) {
-	run, ok := s.runs[w]
-	return run.mean, ok && now.Sub(run.at) < runLife
+// meanRunTime returns the reported mean run time of calls of a kind, if it is known
+// and has not expired.
+func (s *stats) meanRunTime(now time.Time, kind callKind) (time.Duration, bool) {
+	run, ok := s.runTimes[kind]
+	return run.mean, ok && now.Sub(run.reportedAt) < runTimeTTL
 }
 
-// compare sets the speeds of the candidates for calls of a kind. Upstreams of one
-// service differ in speed; with equal shares the slow ones would be full while
-// the fast ones are idle.
-func compare(now time.Time, all []candidate, w work) {
+// setSpeeds sets the speeds of the candidates for calls of a kind. Upstreams of one
+// service differ in speed; with equal shares of the calls, the slow ones would be
+// full while the fast ones are idle.
+func setSpeeds(now time.Time, all []candidate, kind callKind) {
 	var known []time.Duration
 	for at := range all {
 		all[at].speed = 1
-		if run, ok := all[at].stats.run(now, w); ok {
+		if run, ok := all[at].stats.meanRunTime(now, kind); ok {
 			known = append(known, run)
 		}
 	}
@@ -66,8 +67,8 @@
 	slices.Sort(known)
 	median := float64(known[len(known)/2]+known[(len(known)-1)/2]) / 2
 	for at := range all {
-		if run, ok := all[at].stats.run(now, w); ok {
-			all[at].speed = min(speedMax, max(speedMin, median/float64(run)))
+		if run, ok := all[at].stats.meanRunTime(now, kind); ok {
+			all[at].speed = min(maxSpeed, max(minSpeed, median/float64(run)))
 		}
 	}
 }
--- a/node/balancer/speed_test.go
+++ b/node/balancer/speed_test.go
@@ -9,28 +9,29 @@
 	"sycamorerun"
 )
 
-// Guards against equal shares for upstreams that differ in speed, against an
-// upstream that gets no call any more because it was slow once, and against
-// run times of one rank that count for another.
+// TestSpeed guards against equal shares for upstreams that differ in speed, against
+// an upstream that gets no more calls because it was slow once, and against using
+// the run times of one rank for another.
 func TestSpeed(t *testing.T) {
 	cases := map[string]struct {
-		// run is the reported run time of one of three; the others report 100 ms.
+		// run is the run time reported by one of three upstreams; the others report
+		// 100 ms.
 		run  time.Duration
 		rank int
 		age  time.Duration
-		// least and most bound its picks of 900; an equal share is 300.
+		// least and most bound its number of picks out of 900; an equal share is 300.
 		least, most int
 	}{
 		"slower":                 {run: 200 * time.Millisecond, rank: 2, most: 220},
 		"faster":                 {run: 60 * time.Millisecond, rank: 2, least: 360, most: 800},
 		"much slower":            {run: 5 * time.Second, rank: 2, most: 120},
-		"slow some time ago":     {run: 5 * time.Second, rank: 2, age: runLife, least: 240, most: 360},
+		"slow some time ago":     {run: 5 * time.Second, rank: 2, age: runTimeTTL, least: 240, most: 360},
 		"slow with another rank": {run: 5 * time.Second, rank: 3, least: 240, most: 360},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			members := group("r1", "z1", 3)
+			members := newInstances("r1", "z1", 3)
 			b := newBalancer(members)
 			for at, m := range members {
 				run := 100 * time.Millisecond
--- a/node/balancer/stats.go
+++ b/node/balancer/stats.go
@@ -10,183 +10,192 @@
 )
 
 const (
-	// reportLife is the time in which a load report loses 63% of its weight.
-	// An upstream's load turns over within a few of its calls.
-	reportLife = time.Second
-	// rateLife is the time in which a failure rate without new outcomes loses
-	// 63%.
-	rateLife = 10 * time.Second
+	// reportTimeConstant is the time in which a load report loses 63% of its
+	// weight. The load of an upstream changes completely within a few calls.
+	reportTimeConstant = time.Second
+	// rateTimeConstant is the time in which a failure rate falls by 63% if there
+	// are no new outcomes.
+	rateTimeConstant = 10 * time.Second
 	// outcomeWeight is the weight of the newest outcome in the failure rate.
 	outcomeWeight = 0.1
-	// failuresMax consecutive failures eject an instance, and so does a failure
-	// rate of failureRate.
-	failuresMax = 5
-	failureRate = 0.5
-	// outcomesMin is the number of outcomes that a failure rate needs.
-	outcomesMin = 10
-	// ejectBase and ejectMax bound an ejection, which doubles each time.
-	ejectBase = 5 * time.Second
-	ejectMax  = time.Minute
-	// connectBase and connectMax bound the ejection of an instance that can't be
-	// reached. One failure is enough, since each costs a call its time to connect,
-	// and it is short, since an address answers again soon after a restart.
-	connectBase = time.Second
-	connectMax  = 5 * time.Second
-	// fullMax bounds the time for which an instance is avoided by its word.
-	// Without one, it is avoided for fullUnknown.
-	fullMax     = time.Second
-	fullUnknown = 50 * time.Millisecond
-	// avoidTime is the time for which a draining instance is not picked. Its
-	// record reaches this node within it.
-	avoidTime = 5 * time.Second
+	// maxConsecutiveFailures failures in a row eject an instance, and so does a
+	// failure rate of ejectionFailureRate.
+	maxConsecutiveFailures = 5
+	ejectionFailureRate    = 0.5
+	// minOutcomes is the number of outcomes required for a failure rate.
+	minOutcomes = 10
+	// baseEjectionTime is the duration of the first ejection. It doubles with each
+	// further ejection, up to maxEjectionTime.
+	baseEjectionTime = 5 * time.Second
+	maxEjectionTime  = time.Minute
+	// baseUnreachableTime and maxUnreachableTime bound the ejection of an instance
+	// that can't be connected to. One failure is enough, since each costs a call
+	// the connect timeout. The ejection is short, since an address answers again
+	// soon after a restart.
+	baseUnreachableTime = time.Second
+	maxUnreachableTime  = 5 * time.Second
+	// maxFullTime bounds the time for which an instance is avoided because it has
+	// reported that it is full. If it gives no time, defaultFullTime applies.
+	maxFullTime     = time.Second
+	defaultFullTime = 50 * time.Millisecond
+	// drainingAvoidTime is the time for which a draining instance is not picked.
+	// Its new state reaches this node within this time.
+	drainingAvoidTime = 5 * time.Second
 )
 
-// Reasons of the forwarder and the limiter that say something about load.
+// Reasons of the forwarder and the limiter that determine how an outcome counts.
 var (
-	// An idle call that did not run waited for a slot for too long, or its peer
-	// answered the query about it.
-	overloads    = map[string]bool{"queue-full": true, "connections-full": true, "shed": true, "deadline": true, "idle": true, "busy": true}
-	unreachables = map[string]bool{"peer-unreachable": true, "upstream-unreachable": true}
-	drainings    = map[string]bool{"draining": true, "no-upstream": true}
-	// neutrals are the ends of calls that their callers or the configuration
-	// brought about.
-	neutrals = map[string]bool{"canceled": true, "body-too-large": true, "body-incomplete": true, "refused": true}
+	// An idle timeout of a call that did not run means that the call waited too
+	// long for a slot, or that the peer confirmed that it did not run the call.
+	overloadReasons    = map[string]bool{"queue-full": true, "connections-full": true, "shed": true, "deadline": true, "idle": true, "busy": true}
+	unreachableReasons = map[string]bool{"peer-unreachable": true, "upstream-unreachable": true}
+	drainingReasons    = map[string]bool{"draining": true, "no-upstream": true}
+	// neutralReasons are reasons caused by the caller or by the configuration. They
+	// say nothing about the instance.
+	neutralReasons = map[string]bool{"canceled": true, "body-too-large": true, "body-incomplete": true, "refused": true}
 )
 
-// stats are what this node knows of an instance.
+// stats holds what this node knows about an instance.
 type stats struct {
 	inFlight int
-	used     time.Time
-
-	report    Load
-	reported  time.Time
-	ownAt     int // calls of this node in flight at the report
-	runs      map[work]runTime
-	rate      float64
-	outcomes  int
-	failures  int
-	ejections int
-	judged    time.Time // of the newest outcome
-	ejected   time.Time
-	avoided   time.Time
-	// unreached counts the failures to connect without an outcome in between.
-	// Until unreachable the instance counts as ejected. It returns without a slow
-	// start: nothing says that it is slow.
-	unreached   int
-	unreachable time.Time
-	// fullUntil is when the instance expects capacity for calls of fullRank.
+	lastUsed time.Time
+
+	report              Load
+	reportedAt          time.Time
+	inFlightAtReport    int // calls of this node in flight when the report arrived
+	runTimes            map[callKind]runTime
+	failureRate         float64
+	outcomes            int
+	consecutiveFailures int
+	ejections           int
+	lastOutcome         time.Time // time of the newest outcome
+	ejectedUntil        time.Time
+	avoidedUntil        time.Time
+	// connectFailures counts the failures to connect since the last outcome.
+	connectFailures int
+	// unreachableUntil is the time until which the instance is ejected after a
+	// failure to connect. No slow start follows, since nothing indicates that the
+	// instance is slow.
+	unreachableUntil time.Time
+	// fullUntil is the time at which the instance expects capacity for calls of
+	// fullRank.
 	fullUntil time.Time
 	fullRank  int
 }
 
-// full reports whether the instance has said that it takes no call of rank yet.
+// full reports whether the instance has reported that it takes no calls of rank yet.
 func (s *stats) full(now time.Time, rank int) bool {
 	return now.Before(s.fullUntil) && rank >= s.fullRank
 }
 
+// observe records the outcome of an attempt at the instance.
 func (s *stats) observe(now time.Time, observation Observation) {
 	s.inFlight = max(0, s.inFlight-1)
-	s.used = now
+	s.lastUsed = now
 	if observation.Load != nil {
-		s.report, s.reported, s.ownAt = *observation.Load, now, s.inFlight
-		s.ran(now, work{observation.Rank, observation.Objective}, observation.Load.RunTime)
+		s.report, s.reportedAt, s.inFlightAtReport = *observation.Load, now, s.inFlight
+		s.recordRunTime(now, callKind{observation.Rank, observation.Objective}, observation.Load.RunTime)
 	}
 	switch {
-	case neutrals[observation.Reason]:
-	case drainings[observation.Reason]:
-		s.avoided = now.Add(avoidTime)
-	case observation.Result == sycamorerun.NotRun && overloads[observation.Reason]:
-		s.overloaded(now)
-		s.fullUntil, s.fullRank = now.Add(min(cmp.Or(observation.After, fullUnknown), fullMax)), observation.Rank
-	case observation.Result == sycamorerun.NotRun && unreachables[observation.Reason]:
-		s.notReached(now)
+	case neutralReasons[observation.Reason]:
+	case drainingReasons[observation.Reason]:
+		s.avoidedUntil = now.Add(drainingAvoidTime)
+	case observation.Result == sycamorerun.NotRun && overloadReasons[observation.Reason]:
+		s.recordOverload(now)
+		s.fullUntil, s.fullRank = now.Add(min(cmp.Or(observation.After, defaultFullTime), maxFullTime)), observation.Rank
+	case observation.Result == sycamorerun.NotRun && unreachableReasons[observation.Reason]:
+		s.recordUnreachable(now)
 	default:
-		s.unreached = 0
-		s.outcome(now, failed(observation))
+		s.connectFailures = 0
+		s.recordOutcome(now, failed(observation))
 	}
 }
 
-// failed reports whether an outcome counts against the instance. An upstream
-// that answers with a server error fails, whatever it reports about itself.
+// failed reports whether an outcome counts as a failure of the instance. A server
+// error is a failure, whatever load the upstream reports.
 func failed(observation Observation) bool {
 	return observation.Result != sycamorerun.Answered || observation.Status >= http.StatusInternalServerError
 }
 
-// overloaded records a refusal as a report of a full upstream, which outranks
-// an older report that said otherwise.
-func (s *stats) overloaded(now time.Time) {
+// recordOverload records a refusal as a load report of a full upstream, which
+// replaces an older report.
+func (s *stats) recordOverload(now time.Time) {
 	slots := max(1, s.report.Slots)
 	s.report = Load{Running: slots, Queued: max(slots, s.report.Queued), Slots: s.report.Slots}
-	s.reported, s.ownAt = now, s.inFlight
+	s.reportedAt, s.inFlightAtReport = now, s.inFlight
 }
 
-// notReached ejects an instance that could not be connected to.
-func (s *stats) notReached(now time.Time) {
-	if now.Before(s.unreachable) {
-		return // a call that was under way when the instance was ejected
+// recordUnreachable ejects an instance that could not be connected to.
+func (s *stats) recordUnreachable(now time.Time) {
+	if now.Before(s.unreachableUntil) {
+		return // The call was already in flight when the instance was ejected.
 	}
-	s.unreachable = now.Add(min(connectBase<<min(s.unreached, 10), connectMax))
-	s.unreached++
+	s.unreachableUntil = now.Add(min(baseUnreachableTime<<min(s.connectFailures, 10), maxUnreachableTime))
+	s.connectFailures++
 }
 
-// out returns until when the instance is ejected.
-func (s *stats) out() time.Time {
-	if s.unreachable.After(s.ejected) {
-		return s.unreachable
+// ejectionEnd returns the time until which the instance is ejected.
+func (s *stats) ejectionEnd() time.Time {
+	if s.unreachableUntil.After(s.ejectedUntil) {
+		return s.unreachableUntil
 	}
-	return s.ejected
+	return s.ejectedUntil
 }
 
-func (s *stats) outcome(now time.Time, failed bool) {
-	s.rate = s.failing(now)
-	s.judged = now
+// recordOutcome updates the failure rate and ejects an instance that fails too
+// often.
+func (s *stats) recordOutcome(now time.Time, failed bool) {
+	s.failureRate = s.currentFailureRate(now)
+	s.lastOutcome = now
 	s.outcomes++
 	value := 0.0
 	if failed {
 		value = 1
-		s.failures++
+		s.consecutiveFailures++
 	} else {
-		s.failures = 0
+		s.consecutiveFailures = 0
 	}
-	s.rate += outcomeWeight * (value - s.rate)
-	if now.Before(s.ejected) {
+	s.failureRate += outcomeWeight * (value - s.failureRate)
+	if now.Before(s.ejectedUntil) {
 		return
 	}
 	if !failed {
-		if s.outcomes >= outcomesMin && s.rate < outcomeWeight {
+		if s.outcomes >= minOutcomes && s.failureRate < outcomeWeight {
 			s.ejections = 0
 		}
 		return
 	}
-	if s.failures >= failuresMax || s.outcomes >= outcomesMin && s.rate >= failureRate {
-		s.ejected = now.Add(min(ejectBase<<min(s.ejections, 10), ejectMax))
+	if s.consecutiveFailures >= maxConsecutiveFailures || s.outcomes >= minOutcomes && s.failureRate >= ejectionFailureRate {
+		s.ejectedUntil = now.Add(min(baseEjectionTime<<min(s.ejections, 10), maxEjectionTime))
 		s.ejections++
-		// The instance returns with a clean rate, but one short of the number of
-		// failures that ejects it.
-		s.failures, s.rate, s.outcomes = failuresMax-1, 0, 0
+		// After the ejection the failure rate starts at zero, but a single failure
+		// ejects the instance again.
+		s.consecutiveFailures, s.failureRate, s.outcomes = maxConsecutiveFailures-1, 0, 0
 	}
 }
 
-// load estimates the calls at the instance. Calls of other nodes come from the
-// last report, whose weight decays towards the mean of the other instances: a
-// stale report of an idle upstream attracts no more than a usual share.
+// load estimates the calls at the instance. The number of calls of other nodes comes
+// from the last report, which decays towards mean, the mean of the other instances,
+// so that a stale report of an idle upstream attracts no more than a usual share.
 func (s *stats) load(now time.Time, mean float64) float64 {
-	weight := s.weight(now)
-	others := max(0, float64(s.report.Running+s.report.Queued-s.ownAt))
+	weight := s.reportWeight(now)
+	others := max(0, float64(s.report.Running+s.report.Queued-s.inFlightAtReport))
 	return float64(s.inFlight) + weight*others + (1-weight)*mean
 }
 
-// failing returns the failure rate, which fades while there are no outcomes.
-func (s *stats) failing(now time.Time) float64 {
-	if s.rate == 0 {
+// currentFailureRate returns the failure rate, which decays while there are no
+// outcomes.
+func (s *stats) currentFailureRate(now time.Time) float64 {
+	if s.failureRate == 0 {
 		return 0
 	}
-	return s.rate * math.Exp(-float64(max(0, now.Sub(s.judged)))/float64(rateLife))
+	return s.failureRate * math.Exp(-float64(max(0, now.Sub(s.lastOutcome)))/float64(rateTimeConstant))
 }
 
-func (s *stats) weight(now time.Time) float64 {
-	if s.reported.IsZero() {
+// reportWeight returns the weight of the last load report, which decays with its age.
+func (s *stats) reportWeight(now time.Time) float64 {
+	if s.reportedAt.IsZero() {
 		return 0
 	}
-	return math.Exp(-float64(max(0, now.Sub(s.reported))) / float64(reportLife))
+	return math.Exp(-float64(max(0, now.Sub(s.reportedAt))) / float64(reportTimeConstant))
 }
--- a/node/balancer/tier.go
+++ b/node/balancer/tier.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// weightMin keeps a failing upstream in the draw, so that its recovery or
-	// its ejection is noticed.
-	weightMin = 0.1
-	// rampMin is the least share of a cold upstream.
-	rampMin = 0.1
-	// rampCold is the least slow start of an upstream that says that it is cold.
-	// A service's own setting may be shorter, or zero, while calls to a cold
+	// minSuccessRate is the lower bound of the success rate in a weight. A failing
+	// upstream still gets some calls, so that it either recovers or is ejected.
+	minSuccessRate = 0.1
+	// minSlowStartShare is the smallest share of its capacity that an upstream gets
+	// during slow start.
+	minSlowStartShare = 0.1
+	// minColdSlowStart is the shortest slow start of an upstream in the cold state.
+	// The setting of the service may be shorter or zero, but calls to a cold
 	// upstream take a multiple of the usual time for some seconds.
-	rampCold = 10 * time.Second
-	// rampEjected is the slow start after an ejection.
-	rampEjected = 5 * time.Second
-	// slotsDefault stands for the slots of an instance that tells none.
-	slotsDefault = 1
+	minColdSlowStart = 10 * time.Second
+	// ejectionSlowStart is the slow start after an ejection.
+	ejectionSlowStart = 5 * time.Second
+	// defaultSlots is the number of slots of an instance that reports none.
+	defaultSlots = 1
 )
 
-// spill is a range of the utilisation of a tier: from its start on, calls go
-// to a farther tier that has capacity, and from its end on all do. In between
-// the share rises gradually.
-type spill struct{ from, all float64 }
+// spilloverRange is the range of the utilization of a tier in which calls spill over
+// to a farther tier with capacity. The share of these calls rises from zero at start
+// to one at end.
+type spilloverRange struct{ start, end float64 }
 
-// spills are the ranges for the own region and for other regions. A response
-// that crosses regions costs as much as a fifth of a read is worth, and 40 ms;
-// a queue of half the slots takes about as long.
-var spills = [...]spill{{0.7, 1.3}, {1.05, 1.6}}
+// spilloverRanges are the ranges for spillover to the same region and to other
+// regions. A response from another region costs a fifth of the value of a read, and
+// 40 ms, which is about the wait behind a queue of half the slots.
+var spilloverRanges = [...]spilloverRange{{0.7, 1.3}, {1.05, 1.6}}
 
-// excess returns the share of the calls that utilisation drives away.
-func (s spill) excess(utilisation float64) float64 {
-	return min(1, max(0, (utilisation-s.from)/(s.all-s.from)))
+// share returns the share of the calls that spills over at a utilization.
+func (s spilloverRange) share(utilization float64) float64 {
+	return min(1, max(0, (utilization-s.start)/(s.end-s.start)))
 }
 
 // candidate is an instance with its statistics and their evaluation.
@@ -45,57 +46,60 @@
 	stats    *stats
 	tier     int
 	ejected  bool
-	// capacity is the slots, less while the upstream warms up.
+	// capacity is the number of slots, reduced during slow start.
 	capacity float64
-	// speed is how fast the upstream runs calls of the query's kind, 1 being
-	// that of the median of the service.
+	// speed is the speed at which the upstream runs calls of the query's kind,
+	// relative to the median of the service.
 	speed float64
-	// weight is the capacity, less while calls to the upstream fail. Samples
-	// are drawn by weight but compared by load and capacity: a failure makes an
-	// instance rarer, not the loser of every comparison with equal ones.
+	// weight is the capacity times the speed, reduced while calls to the upstream
+	// fail. Candidates are sampled by weight but compared by load and capacity, so
+	// that an instance with failures is picked less often but does not lose every
+	// comparison.
 	weight float64
 	load   float64
 }
 
-// busy is the load per slot that one more call would bring, by the speed at
-// which the upstream would work it off.
-func (c *candidate) busy() float64 { return (c.load + 1) / (c.capacity * c.speed) }
+// projectedUtilization returns the load per slot with one more call, relative to the
+// speed of the upstream.
+func (c *candidate) projectedUtilization() float64 { return (c.load + 1) / (c.capacity * c.speed) }
 
-// commonFailure is the failure rate of the median instance from which on failures
-// are the service's: of a dependency, or of what callers send. To eject
-// instances would only overload the others, which fail as often.
-const commonFailure = 0.2
+// commonFailureRate is the failure rate of the median instance from which failures
+// are attributed to the whole service, for example to a dependency or to the
+// requests of callers. Ejecting instances would then only overload the others, which
+// fail as often.
+const commonFailureRate = 0.2
 
-// eject marks the ejected candidates, at most half of them: beyond that the
-// fault is probably not in the instances, and the rest would be overloaded.
-func eject(now time.Time, all []candidate) {
+// markEjected marks at most half of the candidates as ejected. If more of them fail,
+// the instances are probably not the cause, and the rest would be overloaded.
+func markEjected(now time.Time, all []candidate) {
 	var out []*candidate
 	for at := range all {
-		if now.Before(all[at].stats.out()) {
+		if now.Before(all[at].stats.ejectionEnd()) {
 			out = append(out, &all[at])
 		}
 	}
 	if len(out) == 0 {
 		return
 	}
-	if medianFailure(now, all) >= commonFailure {
-		out = slices.DeleteFunc(out, func(c *candidate) bool { return !now.Before(c.stats.unreachable) })
+	if medianFailureRate(now, all) >= commonFailureRate {
+		out = slices.DeleteFunc(out, func(c *candidate) bool { return !now.Before(c.stats.unreachableUntil) })
 	}
-	// The longest ejections belong to the instances that failed most often.
+	// The instances that failed most often have the longest ejections.
 	slices.SortStableFunc(out, func(a, b *candidate) int {
-		return cmp.Or(b.stats.out().Compare(a.stats.out()), cmp.Compare(a.instance.Name, b.instance.Name))
+		return cmp.Or(b.stats.ejectionEnd().Compare(a.stats.ejectionEnd()), cmp.Compare(a.instance.Name, b.instance.Name))
 	})
 	for _, c := range out[:min(len(out), len(all)/2)] {
 		c.ejected = true
 	}
 }
 
-// medianFailure returns the failure rate of the median candidate with outcomes.
-func medianFailure(now time.Time, all []candidate) float64 {
+// medianFailureRate returns the median failure rate of the candidates with recent
+// outcomes, or zero if there are fewer than two.
+func medianFailureRate(now time.Time, all []candidate) float64 {
 	var rates []float64
 	for at := range all {
-		if s := all[at].stats; !s.judged.IsZero() && now.Sub(s.judged) < rateLife {
-			rates = append(rates, s.failing(now))
+		if s := all[at].stats; !s.lastOutcome.IsZero() && now.Sub(s.lastOutcome) < rateTimeConstant {
+			rates = append(rates, s.currentFailureRate(now))
 		}
 	}
 	if len(rates) < 2 {
@@ -105,111 +109,113 @@
 	return rates[len(rates)/2]
 }
 
-// set are the candidates of a tier.
-type set struct {
+// tier holds the candidates at the same distance from this node.
+type tier struct {
 	candidates []*candidate
 	capacity   float64
 	weight     float64
 	load       float64
 }
 
-func (s *set) add(c *candidate) { s.candidates = append(s.candidates, c) }
+func (t *tier) add(c *candidate) { t.candidates = append(t.candidates, c) }
 
-// measure evaluates the candidates. The mean of the fresh reports stands in for
-// missing and stale ones.
-func (s *set) measure(now time.Time, warmup time.Duration) {
+// evaluate sets the load, capacity and weight of the candidates and of the tier. The
+// mean of the fresh reports stands in for missing and stale ones.
+func (t *tier) evaluate(now time.Time, warmup time.Duration) {
 	var sum, weights float64
-	for _, c := range s.candidates {
-		weight := c.stats.weight(now)
-		sum += weight * max(0, float64(c.stats.report.Running+c.stats.report.Queued-c.stats.ownAt))
+	for _, c := range t.candidates {
+		weight := c.stats.reportWeight(now)
+		sum += weight * max(0, float64(c.stats.report.Running+c.stats.report.Queued-c.stats.inFlightAtReport))
 		weights += weight
 	}
 	mean := 0.0
 	if weights > 0 {
 		mean = sum / weights
 	}
-	for _, c := range s.candidates {
+	for _, c := range t.candidates {
 		c.load = c.stats.load(now, mean)
-		c.capacity = float64(max(slotsDefault, c.instance.Slots)) * ramp(now, c, warmup)
-		success := max(weightMin, 1-c.stats.failing(now))
+		c.capacity = float64(max(defaultSlots, c.instance.Slots)) * slowStartShare(now, c, warmup)
+		success := max(minSuccessRate, 1-c.stats.currentFailureRate(now))
 		c.weight = c.capacity * c.speed * success * success
-		s.capacity += c.capacity
-		s.weight += c.weight
-		// One instance that is slow, or reports a load that can't be, does not
-		// make its whole tier look full.
-		s.load += min(c.load, spills[1].all*c.capacity)
+		t.capacity += c.capacity
+		t.weight += c.weight
+		// The bound keeps a single instance that is slow, or reports an impossible
+		// load, from making its whole tier look full.
+		t.load += min(c.load, spilloverRanges[1].end*c.capacity)
 	}
 }
 
-// ramp is the share of its capacity that an upstream gets in its slow start.
-func ramp(now time.Time, c *candidate, warmup time.Duration) float64 {
+// slowStartShare returns the share of its capacity that an upstream gets, which is
+// below one during slow start.
+func slowStartShare(now time.Time, c *candidate, warmup time.Duration) float64 {
 	share := 1.0
 	if c.instance.State == sycamorerun.StateCold {
-		warmup = max(warmup, rampCold)
+		warmup = max(warmup, minColdSlowStart)
 	}
 	if warmup > 0 && !c.instance.Since.IsZero() {
 		share = float64(now.Sub(c.instance.Since)) / float64(warmup)
 	}
-	if back := c.stats.ejected; !back.IsZero() && !now.Before(back) {
-		share = min(share, float64(now.Sub(back))/float64(rampEjected))
+	if end := c.stats.ejectedUntil; !end.IsZero() && !now.Before(end) {
+		share = min(share, float64(now.Sub(end))/float64(ejectionSlowStart))
 	}
-	return min(1, max(rampMin, share))
+	return min(1, max(minSlowStartShare, share))
 }
 
-func (s *set) spare() float64 { return max(0, s.capacity-s.load) }
+func (t *tier) spareCapacity() float64 { return max(0, t.capacity-t.load) }
 
-// pick samples two candidates by weight and takes the one with less load.
-func (s *set) pick(random func() float64) *candidate {
-	first := s.sample(random(), nil)
-	if len(s.candidates) == 1 {
+// pick samples two candidates by weight and returns the one with the lower projected
+// utilization.
+func (t *tier) pick(random func() float64) *candidate {
+	first := t.sample(random(), nil)
+	if len(t.candidates) == 1 {
 		return first
 	}
-	second := s.sample(random(), first)
-	if second.busy() < first.busy() {
+	second := t.sample(random(), first)
+	if second.projectedUtilization() < first.projectedUtilization() {
 		return second
 	}
 	return first
 }
 
-// sample returns a candidate other than skip, by weight.
-func (s *set) sample(at float64, skip *candidate) *candidate {
-	total := s.weight
+// sample returns a candidate other than skip, drawn by weight with a random number
+// in [0, 1).
+func (t *tier) sample(draw float64, skip *candidate) *candidate {
+	total := t.weight
 	if skip != nil {
 		total -= skip.weight
 	}
-	at *= total
+	draw *= total
 	var last *candidate
-	for _, c := range s.candidates {
+	for _, c := range t.candidates {
 		if c == skip {
 			continue
 		}
 		last = c
-		if at -= c.weight; at < 0 {
+		if draw -= c.weight; draw < 0 {
 			return c
 		}
 	}
 	return last
 }
 
-// tiers are the candidates by nearness.
-type tiers struct {
-	all  []candidate
-	sets [3]set
+// tieredCandidates groups candidates by tier, the nearest tier first.
+type tieredCandidates struct {
+	all   []candidate
+	tiers [3]tier
 }
 
-// shares returns the share of calls of each tier. A tier passes on a share
-// that rises with its utilisation, as far as the tiers behind it have spare
-// capacity.
-func (t *tiers) shares() [3]float64 {
+// shares returns the share of calls of each tier. The share that spills over from a
+// tier rises with its utilization, as far as the farther tiers have spare capacity.
+func (t *tieredCandidates) shares() [3]float64 {
 	var shares [3]float64
 	left := 1.0
 	last := -1
-	for at := range t.sets {
-		near := &t.sets[at]
+	for at := range t.tiers {
+		near := &t.tiers[at]
 		if len(near.candidates) == 0 {
 			continue
 		}
-		spill := t.spill(at)
+		spill := t.spillover(at)
 		shares[at] = left * (1 - spill)
 		left *= spill
 		last = at
@@ -220,44 +226,44 @@
 	return shares
 }
 
-// spill returns the share of calls that tier at passes on.
-func (t *tiers) spill(at int) float64 {
-	near := &t.sets[at]
+// spillover returns the share of calls that spills over from the tier with index at.
+func (t *tieredCandidates) spillover(at int) float64 {
+	near := &t.tiers[at]
 	var share float64
-	for next := at + 1; next < len(t.sets); next++ {
-		spare := t.sets[next].spare()
+	for next := at + 1; next < len(t.tiers); next++ {
+		spare := t.tiers[next].spareCapacity()
 		if spare <= 0 {
 			continue
 		}
-		excess := spills[next-1].excess(near.load / near.capacity)
-		share = max(share, excess*spare/(spare+near.spare()))
+		excess := spilloverRanges[next-1].share(near.load / near.capacity)
+		share = max(share, excess*spare/(spare+near.spareCapacity()))
 	}
 	return share
 }
 
-// choose returns the tier for a random number in [0, 1), or nil when no
+// choose returns the tier drawn with a random number in [0, 1), or nil when no
 // instance can be picked.
-func (t *tiers) choose(at float64) *set {
-	var last *set
+func (t *tieredCandidates) choose(draw float64) *tier {
+	var last *tier
 	for tier, share := range t.shares() {
-		if len(t.sets[tier].candidates) == 0 {
+		if len(t.tiers[tier].candidates) == 0 {
 			continue
 		}
-		last = &t.sets[tier]
-		if at -= share; at < 0 {
+		last = &t.tiers[tier]
+		if draw -= share; draw < 0 {
 			return last
 		}
 	}
 	return last
 }
 
-// chances returns the expected share of every candidate. Within a tier it is
-// the probability to be sampled and to win the comparison.
-func (t *tiers) chances() []Chance {
+// chances returns the expected share of every candidate. Within a tier it is the
+// probability that the candidate is sampled and wins the comparison.
+func (t *tieredCandidates) chances() []Chance {
 	shares := t.shares()
 	wins := map[string]float64{}
-	for tier := range t.sets {
-		s := &t.sets[tier]
+	for tier := range t.tiers {
+		s := &t.tiers[tier]
 		for _, first := range s.candidates {
 			if len(s.candidates) == 1 {
 				wins[first.instance.Name] = shares[tier]
@@ -267,7 +273,7 @@
 					continue
 				}
 				winner := first
-				if second.busy() < first.busy() {
+				if second.projectedUtilization() < first.projectedUtilization() {
 					winner = second
 				}
 				wins[winner.instance.Name] += shares[tier] * first.weight / s.weight * second.weight / (s.weight - first.weight)
