--- a/node/retrier/budget.go
+++ b/node/retrier/budget.go
@@ -5,112 +5,118 @@
 	"time"
 )
 
-// Budget bounds the repetitions of each service's calls, summed over the fleet:
-// in any Window at most Ratio per call and Slack beyond.
+// Budget bounds the retries per service, summed over the fleet: within any Window at
+// most Ratio per call plus Slack.
 type Budget struct {
-	// Ratio is negative for the service's own.
+	// Ratio is the number of retries per call. If it is negative, the ratio set for
+	// the service applies.
 	Ratio  float64
 	Window time.Duration
 	Slack  float64
 }
 
-// DefaultBudget permits the services' ratios, and a few repetitions to services
-// with few calls.
+// DefaultBudget applies the ratios set for the services and permits a few retries to
+// services with few calls.
 var DefaultBudget = Budget{Ratio: -1, Window: 10 * time.Second, Slack: 10}
 
 const (
-	// margin is the part of the budget that is used. The rest covers nodes that
-	// see different members for a moment.
-	margin = 0.8
-	// membersLife is the time for which the largest number of members counts. A
-	// node that loses sight of the others must not take their shares at once.
-	membersLife = time.Minute
-	// turnWindows is the length of a turn, in which the same members have the
-	// repetition that the slack leaves after equal division, and restWindows the
-	// part at its beginning in which nobody has it: the repetitions of the turn
-	// before are in the window until then. The half window more covers clocks
-	// that differ.
-	turnWindows = 6
-	restWindows = 1.5
+	// usableFraction is the fraction of the budget that the nodes use. The rest
+	// covers nodes that temporarily see different members.
+	usableFraction = 0.8
+	// memberCountRetention is the time for which the largest number of members
+	// counts, so that a node that loses contact with the others does not take over
+	// their shares at once.
+	memberCountRetention = time.Minute
+	// rotationWindows is the length of a rotation period in windows. The slack that
+	// remains after equal division goes to the same members during one period.
+	rotationWindows = 6
+	// rotationPauseWindows is the part of a rotation period at its beginning in
+	// which no member gets the remainder, since the retries of the previous period
+	// are still within the window. The additional half window covers differences
+	// between clocks.
+	rotationPauseWindows = 1.5
 )
 
-// budget is what one node may spend on a service. Calls fill a bucket of tokens
-// with a fraction of a retry each; beyond these there are some retries in each
-// window. In every window, also in one that begins when the calls have ended, the
-// charges are at most what its calls earn, the tokens that a full bucket holds
-// and those retries. The last two are the node's share of the slack. A count of
-// the calls of the last window would let retries follow when there are no calls
-// any more.
+// budget is the retry budget of one node for a service. It is a token bucket that
+// each call fills with a fraction of a retry, and a number of further retries per
+// window. In every window, even one that begins after the calls have ended, the
+// retries are at most the deposits of its calls, a full bucket and the further
+// retries. The last two add up to the node's share of the slack. Counting the calls
+// of the last window instead would permit retries after the calls have ended.
 type budget struct {
 	tokens float64
-	beyond window
-	begun  bool
+	// slackUsed counts the retries that were not covered by tokens.
+	slackUsed   window
+	initialized bool
 }
 
-func (b *budget) earn(tokens float64, share share) {
-	b.begin(share)
-	b.tokens = min(b.tokens+tokens, share.bucket())
+func (b *budget) deposit(tokens float64, share slackShare) {
+	b.initialize(share)
+	b.tokens = min(b.tokens+tokens, share.bucketSize())
 }
 
-// spend takes a retry, if there is one.
-func (b *budget) spend(at int64, share share) bool {
-	b.begin(share)
-	b.tokens = min(b.tokens, share.bucket())
+// withdraw takes one retry from the budget and reports whether there was one.
+func (b *budget) withdraw(at int64, share slackShare) bool {
+	b.initialize(share)
+	b.tokens = min(b.tokens, share.bucketSize())
 	switch {
 	case b.tokens >= 1:
 		b.tokens--
-	case b.beyond.sum(at) < share.total+share.turn-share.total/2:
-		b.beyond.add(at)
+	case b.slackUsed.sum(at) < share.fixed+share.rotating-share.fixed/2:
+		b.slackUsed.add(at)
 	default:
 		return false
 	}
 	return true
 }
 
-func (b *budget) begin(share share) {
-	if !b.begun {
-		b.begun, b.tokens = true, float64(share.total/2)
+func (b *budget) initialize(share slackShare) {
+	if !b.initialized {
+		b.initialized, b.tokens = true, float64(share.fixed/2)
 	}
 }
 
-// share is a node's part of the slack: total always, turn in its turn.
-type share struct{ total, turn int }
+// slackShare is a node's share of the slack: fixed retries at any time, and rotating
+// ones in the rotation periods in which the node gets part of the remainder.
+type slackShare struct{ fixed, rotating int }
 
-// bucket is the capacity of the bucket: half of the share, but one token at
-// least, since a node could not use what its calls earn otherwise.
-func (s share) bucket() float64 { return float64(max(1, s.total/2)) }
+// bucketSize returns the capacity of the token bucket. It is half of the share, but
+// at least one token, since the deposits of calls would otherwise never add up to a
+// retry.
+func (s slackShare) bucketSize() float64 { return float64(max(1, s.fixed/2)) }
 
-// share returns this node's share in whole numbers, although an equal share may
-// be below one.
-func (r *Retrier) share(now time.Time) share {
-	count := r.members.largest(now, r.Members())
-	slack := int(margin * r.Budget.Slack)
-	result, rest := share{total: slack / count}, slack%count
+// slackShare returns this node's share of the slack in whole retries, although an
+// equal share may be below one.
+func (r *Retrier) slackShare(now time.Time) slackShare {
+	count := r.peakMembers.observe(now, r.Members())
+	slack := int(usableFraction * r.Budget.Slack)
+	result, remainder := slackShare{fixed: slack / count}, slack%count
 	if r.Budget.Window <= 0 {
 		return result
 	}
-	// The members agree on the turn only by the wall clock.
+	// The members derive the rotation period from the wall clock.
 	window := float64(r.Budget.Window)
-	turn, at := math.Modf(float64(now.UnixNano()) / (window * turnWindows))
-	if at*turnWindows >= restWindows && (r.MemberIndex()+int(turn)*rest)%count < rest {
-		result.turn = 1
+	period, position := math.Modf(float64(now.UnixNano()) / (window * rotationWindows))
+	if position*rotationWindows >= rotationPauseWindows && (r.MemberIndex()+int(period)*remainder)%count < remainder {
+		result.rotating = 1
 	}
 	return result
 }
 
-// members holds the largest number of members of the last one to two
-// membersLife.
-type members struct {
+// peakMemberCount holds the largest number of members over the last one to two
+// retention periods.
+type peakMemberCount struct {
 	current, previous int
-	since             time.Time
+	periodStart       time.Time
 }
 
-func (m *members) largest(now time.Time, count int) int {
-	switch passed := now.Sub(m.since); {
-	case passed >= 2*membersLife:
-		m.previous, m.current, m.since = 0, 0, now
-	case passed >= membersLife:
-		m.previous, m.current, m.since = m.current, 0, now
+// observe records the current number of members and returns the largest one.
+func (m *peakMemberCount) observe(now time.Time, count int) int {
+	switch elapsed := now.Sub(m.periodStart); {
+	case elapsed >= 2*memberCountRetention:
+		m.previous, m.current, m.periodStart = 0, 0, now
+	case elapsed >= memberCountRetention:
+		m.previous, m.current, m.periodStart = m.current, 0, now
 	}
 	m.current = max(m.current, count, 1)
 	return max(m.current, m.previous)
--- a/node/retrier/retrier_test.go
+++ b/node/retrier/retrier_test.go
@@ -11,13 +11,14 @@
 
 var start = time.Unix(1000, 0)
 
-func fixed(ratio float64) *Retrier {
+func newTestRetrier(ratio float64) *Retrier {
 	r := New(func(string) float64 { return ratio })
 	r.Random = func(n int64) int64 { return n - 1 }
 	return r
 }
 
-// Guards against repetitions that are unsafe, useless or multiply in a chain.
+// TestPermitted guards against retries that are unsafe, useless or multiply along a
+// call chain.
 func TestPermitted(t *testing.T) {
 	cases := map[string]struct {
 		attempt Attempt
@@ -51,60 +52,60 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := fixed(c.ratio)
+			r := newTestRetrier(c.ratio)
 			r.RecordRunTime(start, c.attempt.Service, 100*time.Millisecond)
 			delay, ok := r.Allow(start, c.attempt)
 			is.Equal(ok, c.want)
 			if ok && !c.attempt.Sent && !c.attempt.SameInstance {
 				is.Equal(delay, time.Duration(0))
 			} else if ok {
-				is.Equal(delay, delayBase<<(c.attempt.Number-1)-1)
+				is.Equal(delay, baseDelay<<(c.attempt.Number-1)-1)
 			}
 		})
 	}
 }
 
-// repeat asks for a repetition that the budget is charged for.
-func repeat(r *Retrier, now time.Time) bool {
+// retry requests a retry that is charged to the budget.
+func retry(r *Retrier, now time.Time) bool {
 	_, ok := r.Allow(now, Attempt{Service: "s", Number: 1, Sends: 1, Sent: true, Result: sycamorerun.NotRun})
 	return ok
 }
 
-// Guards the budget of a node that is alone: beyond the slack, retries stay
-// below the ratio of calls, by margin.
+// TestBudget guards against a single node that exceeds its budget: beyond the slack,
+// the retries stay below usableFraction of the ratio of calls.
 func TestBudget(t *testing.T) {
 	is := is.New(t)
-	r := fixed(0.25)
+	r := newTestRetrier(0.25)
 	made := 0
-	for repeat(r, start) {
+	for retry(r, start) {
 		made++
 	}
 	is.Equal(made, 8)
 	for range 400 {
 		r.RecordCall(start, "s")
-		if repeat(r, start) {
+		if retry(r, start) {
 			made++
 		}
 	}
 	is.Equal(made, 8+80)
-	for range 100 { // these need no budget
+	for range 100 { // attempts that were not sent are not charged
 		_, ok := r.Allow(start, Attempt{Service: "s", Number: 1, Result: sycamorerun.NotRun})
 		is.True(ok)
 	}
-	r.RecordCall(start.Add(2*idleMax), "other")
-	is.Equal(len(r.services), 1) // unused budgets are forgotten
+	r.RecordCall(start.Add(2*idleRetention), "other")
+	is.Equal(len(r.services), 1) // unused budgets are deleted
 }
 
-// Guards the budget of the fleet, in every window and summed over the nodes,
-// while the load changes: the nodes repeat whatever they may.
+// TestFleetBudget guards against a fleet that exceeds its budget in some window while
+// the load changes. All nodes make every retry that they may.
 func TestFleetBudget(t *testing.T) {
 	const step = 50 * time.Millisecond
 	cases := map[string]struct {
 		nodes int
 		slack float64
-		// calls returns the calls of a node in a step.
+		// calls returns the number of calls of a node in a step.
 		calls func(node, step int) int
-		// idle says that nothing fails in a step.
+		// idle says that no call fails in a step.
 		idle func(step int) bool
 	}{
 		"steady":                       {13, 64, func(int, int) int { return 2 }, nil},
@@ -121,14 +122,14 @@
 			is := is.New(t)
 			var fleet []*Retrier
 			for place := range c.nodes {
-				r := fixed(0.2)
+				r := newTestRetrier(0.2)
 				r.Budget.Slack = c.slack
 				r.Members, r.MemberIndex = func() int { return c.nodes }, func() int { return place }
 				fleet = append(fleet, r)
 			}
 			const steps, window = 3000, 200
 			calls, charges := make([]int, steps), make([]int, steps)
-			// Clocks differ by up to 3 s, which is within half of a window.
+			// The clocks differ by up to 3 s, which is less than half a window.
 			skew := func(node int) time.Duration { return time.Duration(node%4) * time.Second }
 			for at := range steps {
 				for node, r := range fleet {
@@ -137,7 +138,7 @@
 						r.RecordCall(now, "s")
 						calls[at]++
 					}
-					for (c.idle == nil || !c.idle(at)) && repeat(r, now) {
+					for (c.idle == nil || !c.idle(at)) && retry(r, now) {
 						charges[at]++
 					}
 				}
@@ -158,15 +159,16 @@
 	}
 }
 
-// Guards against a node that loses sight of the others and takes their shares.
+// TestMembersLost guards against a node that loses contact with the others and takes
+// over their shares.
 func TestMembersLost(t *testing.T) {
 	is := is.New(t)
-	r := fixed(0.2)
+	r := newTestRetrier(0.2)
 	count := 4
 	r.Members = func() int { return count }
 	made := func(now time.Time) int {
 		n := 0
-		for repeat(r, now) {
+		for retry(r, now) {
 			n++
 		}
 		return n
@@ -174,15 +176,15 @@
 	is.Equal(made(start), 2)
 	count = 1
 	is.Equal(made(start.Add(50*time.Second)), 1) // the bucket is empty
-	is.Equal(made(start.Add(3*membersLife)), 4)
+	is.Equal(made(start.Add(3*memberCountRetention)), 4)
 }
 
-// Guards a deep chain of calls against multiplied attempts when its last level
-// fails: attempts grow by a fixed number per level.
+// TestChain guards against attempts that multiply along a deep call chain when its
+// last level fails: their number may only grow linearly with the depth.
 func TestChain(t *testing.T) {
 	is := is.New(t)
 	const depth = 28
-	r := fixed(1)
+	r := newTestRetrier(1)
 	calls := 0
 	var call func(level, at int) bool
 	call = func(level, at int) bool {
@@ -201,5 +203,5 @@
 		}
 	}
 	call(1, 0)
-	is.True(calls <= 1+depth*(sentDefault-1)) // 3 to the power of 28 without the header
+	is.True(calls <= 1+depth*(defaultMaxSends-1)) // 3 to the power of 28 without ParentAttempt
 }
--- a/node/retrier/window.go
+++ b/node/retrier/window.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// buckets is the number of buckets of a window. One more holds the part of the
-// window that the oldest bucket covers.
+// buckets is the number of buckets per window. One more bucket is kept, since the
+// window covers only part of the oldest one.
 const buckets = 20
 
-// window counts charges in a sliding window.
+// window counts retries in a sliding window.
 type window struct {
 	counts [buckets + 1]int
-	// newest is the number of the newest bucket.
+	// newest is the number of the newest bucket, counted from the origin.
 	newest int64
 }
 
-// bucket returns the number of the bucket at now. The first now of a retrier is
-// the origin, which keeps it independent of the wall clock.
-func (r *Retrier) bucket(now time.Time) int64 {
-	if r.base.IsZero() {
-		r.base = now
+// bucketNumber returns the number of the bucket at now. The origin is the first now
+// of a retrier, so that the numbers do not depend on the wall clock.
+func (r *Retrier) bucketNumber(now time.Time) int64 {
+	if r.origin.IsZero() {
+		r.origin = now
 	}
-	return int64(now.Sub(r.base) / max(1, r.Budget.Window/buckets))
+	return int64(now.Sub(r.origin) / max(1, r.Budget.Window/buckets))
 }
 
-// move drops the buckets that are older than the window at bucket at.
-func (w *window) move(at int64) {
+// advance makes at the newest bucket and clears the buckets that leave the window.
+func (w *window) advance(at int64) {
 	if at-w.newest > buckets {
 		*w = window{newest: at}
 	}
@@ -34,13 +34,14 @@
 }
 
 func (w *window) add(at int64) {
-	w.move(at)
+	w.advance(at)
 	w.counts[w.newest%(buckets+1)]++
 }
 
-// sum returns the charges of the window, with all of the oldest bucket.
+// sum returns the number of retries in the window at bucket at, including the whole
+// oldest bucket.
 func (w *window) sum(at int64) int {
-	w.move(at)
+	w.advance(at)
 	sum := 0
 	for _, n := range w.counts {
 		sum += n
