--- a/node/planner/plan_test.go
+++ b/node/planner/plan_test.go
@@ -27,9 +27,9 @@
 	return members
 }
 
-// Guards against links that only one end knows, members that a tree does not
-// reach, members that have children in both trees of a large zone and so more
-// neighbours than the control budget allows, and a wrong number of watchers.
+// TestNew guards against links that only one end knows, members that a tree does not
+// reach, a wrong number of watchers, and members with children in both trees of a
+// large zone, which would have more neighbours than the control budget permits.
 func TestNew(t *testing.T) {
 	cases := map[string]struct{ members, zones int }{
 		"one member":               {1, 1},
@@ -58,7 +58,8 @@
 					is.True(linked(plans[link.Name], name, link.Tree, opposite[link.Role]))
 				}
 				is.True(counts[planner.RoleParent] <= planner.Trees)
-				// One tree's children and, at a region's first member, the zones.
+				// A member has children in one tree and, as the root of a region,
+				// the roots of the zones.
 				is.True(counts[planner.RoleChild] <= planner.Fanout+test.zones/3)
 			}
 			regions := min(test.members, test.zones, 3)
@@ -86,7 +87,7 @@
 	return false
 }
 
-// reached counts the members connected with start over one tree.
+// reached returns the number of members connected to start in one tree.
 func reached(plans map[string]planner.Plan, start string, tree int) int {
 	seen := map[string]bool{start: true}
 	for queue := []string{start}; len(queue) > 0; queue = queue[1:] {
@@ -100,7 +101,8 @@
 	return len(seen)
 }
 
-// Guards against plans that depend on the order in which records arrived.
+// TestNewIgnoresInputOrder guards against plans that depend on the order of the
+// members.
 func TestNewIgnoresInputOrder(t *testing.T) {
 	is := is.New(t)
 	members := fleet(200, 6)
@@ -113,6 +115,7 @@
 	}
 }
 
+// TestNewWithoutSelf guards against links of a node that is not a member.
 func TestNewWithoutSelf(t *testing.T) {
 	is := is.New(t)
 	is.Equal(planner.New("absent", fleet(10, 2)), planner.Plan{Watch: planner.None})
--- a/node/planner/watchers.go
+++ b/node/planner/watchers.go
@@ -8,22 +8,22 @@
 	"sycamorerun"
 )
 
-// deputies bounds the members after the watchers that look after them. Their
-// number is what many members may fail at once before the others have to wait
-// for the failure detection; more of them would cost the watchers more probes.
-const deputies = 16
+// maxBackupWatchers bounds the number of members that monitor the watchers. If more
+// members than that fail at once, the others have to wait for the failure detection.
+// More backups would cost the watchers more probes.
+const maxBackupWatchers = 16
 
-// candidate is a member in the order in which members watch the store.
+// candidate is a member that may watch the store.
 type candidate struct {
 	ranked
-	class int
-	// round counts the better candidates of the class's availability zone.
-	round int
+	distanceClass int
+	// zoneRank is the number of better candidates in the same availability zone.
+	zoneRank int
 }
 
-// class orders the distances: measured ones first, then unknown ones, then
-// members whose calls of the store fail.
-func class(distance int) int {
+// distanceClass maps a distance to the store to its sort key: measured distances come
+// first, then unknown ones, then members whose calls to the store fail.
+func distanceClass(distance int) int {
 	switch {
 	case distance > 0:
 		return distance
@@ -33,29 +33,29 @@
 	return math.MaxInt
 }
 
-// watchers returns the names of the n members that watch the store and of
-// their deputies. The nearest come first; within a distance, members of
-// different availability zones come before further ones of the same zone.
-func watchers(n int, members []sycamorerun.Instance) (first, next []string) {
+// watchers returns the names of the n members that watch the store and of their
+// backups. The nearest members come first. At equal distance, members of different
+// availability zones come before further members of the same zone.
+func watchers(n int, members []sycamorerun.Instance) (primary, backup []string) {
 	candidates := make([]candidate, len(members))
 	for i := range members {
 		member := &members[i]
-		candidates[i] = candidate{ranked: ranked{rankings(member.Name)[0], member}, class: class(member.Distance)}
+		candidates[i] = candidate{ranked: ranked{orderHashes(member.Name)[0], member}, distanceClass: distanceClass(member.Distance)}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.class, b.class), a.compare(b.ranked))
+		return cmp.Or(cmp.Compare(a.distanceClass, b.distanceClass), a.compare(b.ranked))
 	})
-	rounds := map[place]int{}
+	zoneCounts := map[location]int{}
 	for i := range candidates {
-		where := place{candidates[i].member.Region, candidates[i].member.AvailabilityZone}
-		candidates[i].round = rounds[where]
-		rounds[where]++
+		loc := location{candidates[i].member.Region, candidates[i].member.AvailabilityZone}
+		candidates[i].zoneRank = zoneCounts[loc]
+		zoneCounts[loc]++
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.round, b.round))
+		return cmp.Or(cmp.Compare(a.distanceClass, b.distanceClass), cmp.Compare(a.zoneRank, b.zoneRank))
 	})
-	names := make([]string, 0, n+deputies)
-	for _, c := range candidates[:min(len(candidates), n+deputies)] {
+	names := make([]string, 0, n+maxBackupWatchers)
+	for _, c := range candidates[:min(len(candidates), n+maxBackupWatchers)] {
 		names = append(names, c.member.Name)
 	}
 	n = min(n, len(names))
--- a/node/planner/watchers_test.go
+++ b/node/planner/watchers_test.go
@@ -10,9 +10,9 @@
 	"sycamorerun/node/planner"
 )
 
-// Guards against far watchers while near ones exist, against watchers that one
-// availability zone takes along, and against a fleet that leaves the store to
-// members that can't reach it.
+// TestWatchers guards against choosing distant watchers while near ones exist,
+// against choosing all watchers in one availability zone, and against preferring
+// members that can't reach the store.
 func TestWatchers(t *testing.T) {
 	cases := map[string]struct {
 		distances []int // of the members, which alternate between 3 zones
