--- a/node/router/compile.go
+++ b/node/router/compile.go
@@ -13,7 +13,7 @@
 	"sycamorerun"
 )
 
-// Codes of the faults that Compile reports.
+// Codes of faults reported by Compile.
 const (
 	CodeInvalidItem      = "invalid-item"
 	CodeUnknownService   = "unknown-service"
@@ -25,28 +25,29 @@
 	CodeInvalidRepeat    = "invalid-repeat"
 )
 
-// ranks are those of routes that name none. The distances leave room for
-// routes between the classes.
-var ranks = map[sycamorerun.Class]int{sycamorerun.Interactive: 4, sycamorerun.Bulk: 8, sycamorerun.Background: 12}
+// defaultRanks holds the rank per class of routes that set none. The gaps leave room
+// for routes that rank between the classes.
+var defaultRanks = map[sycamorerun.Class]int{sycamorerun.Interactive: 4, sycamorerun.Bulk: 8, sycamorerun.Background: 12}
 
-// maxWeight keeps the sum of a split's weights far from overflow.
+// maxWeight bounds the weight of a target, so that the sum of the weights of a split
+// does not overflow.
 const maxWeight = 1 << 20
 
-// Compile builds the routing table of tree. Any fault means that there is no
-// table, since a table with part of the routes would send calls elsewhere.
+// Compile builds the routing table of tree. It returns no table if there is any fault,
+// since a table without some of the routes would send their calls to other routes.
 func Compile(tree sycamorerun.Tree) (*Table, []sycamorerun.Fault) {
 	return Recompile(nil, tree)
 }
 
-// Recompile does the same and takes over from previous the decoded form of the
-// items that are equal: decoding is the largest part of the work, and a change
+// Recompile does the same as Compile, but reuses the decoded form of items that are
+// unchanged since previous. Decoding is the largest part of the work, and a change
 // touches few items.
 func Recompile(previous *Table, tree sycamorerun.Tree) (*Table, []sycamorerun.Fault) {
 	c := &compiler{table: &Table{
 		version:  tree.Version,
 		services: map[string]sycamorerun.Service{},
-		hosts:    map[string]*group{},
-		decoded:  make(map[sycamorerun.Path]decoded, len(tree.Items)),
+		hosts:    map[string]*hostRoutes{},
+		decoded:  make(map[sycamorerun.Path]decodedItem, len(tree.Items)),
 	}}
 	if previous != nil {
 		c.previous = previous.decoded
@@ -74,14 +75,15 @@
 	return c.table, nil
 }
 
+// compiler holds the state of one compilation.
 type compiler struct {
 	table    *Table
-	previous map[sycamorerun.Path]decoded
+	previous map[sycamorerun.Path]decodedItem
 	faults   []sycamorerun.Fault
 }
 
-// decoded is an item and what it decodes to.
-type decoded struct {
+// decodedItem is an item with its decoded value.
+type decodedItem struct {
 	item  sycamorerun.Item
 	value any
 }
@@ -92,8 +94,9 @@
 	})
 }
 
-// decode refuses unknown fields: a node that is older than the item would
-// otherwise ignore a condition and match too many calls.
+// decode decodes an item or reuses its decoded value. It rejects unknown fields, since
+// a node that is older than the item would otherwise ignore a condition and match too
+// many calls.
 func decode[T any](c *compiler, path sycamorerun.Path, item sycamorerun.Item) (T, error) {
 	if old, ok := c.previous[path]; ok && bytes.Equal(old.item, item) {
 		if value, ok := old.value.(T); ok {
@@ -106,7 +109,7 @@
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(&value)
 	if err == nil {
-		c.table.decoded[path] = decoded{item, value}
+		c.table.decoded[path] = decodedItem{item, value}
 	}
 	return value, err
 }
@@ -154,7 +157,7 @@
 		rank: source.Rank,
 	}
 	if compiled.rank == 0 {
-		compiled.rank = ranks[compiled.class]
+		compiled.rank = defaultRanks[compiled.class]
 	}
 	for _, name := range slices.Sorted(maps.Keys(source.Headers)) {
 		compiled.headers = append(compiled.headers, header{http.CanonicalHeaderKey(name), source.Headers[name]})
@@ -182,8 +185,8 @@
 	return cleaned
 }
 
-// hosts returns the distinct index keys of a route's hosts; a route without
-// hosts is indexed under anyHost.
+// hosts returns the distinct index keys of a route's hosts. A route without hosts is
+// indexed under anyHost.
 func (c *compiler) hosts(path sycamorerun.Path, hosts []string) []string {
 	if len(hosts) == 0 {
 		return []string{anyHost}
@@ -224,28 +227,29 @@
 	return repeat
 }
 
-func (c *compiler) split(path sycamorerun.Path, into *route, targets []sycamorerun.Target) {
+// split adds the targets with a positive weight to compiled.
+func (c *compiler) split(path sycamorerun.Path, compiled *route, targets []sycamorerun.Target) {
 	before := len(c.faults)
 	for _, target := range targets {
-		settings, ok := c.table.services[target.Service]
+		service, ok := c.table.services[target.Service]
 		switch {
 		case !ok:
 			c.fault(path, CodeUnknownService, "service %s is not in the tree", target.Service)
 		case target.Weight < 0 || target.Weight > maxWeight:
 			c.fault(path, CodeInvalidSplit, "weight %d of %s is out of range", target.Weight, target.Service)
 		case target.Weight > 0:
-			into.total += uint64(target.Weight)
-			into.split = append(into.split, share{target.Service, settings, into.total})
+			compiled.totalWeight += uint64(target.Weight)
+			compiled.split = append(compiled.split, splitTarget{target.Service, service, compiled.totalWeight})
 		}
 	}
-	if into.total == 0 && len(c.faults) == before {
+	if compiled.totalWeight == 0 && len(c.faults) == before {
 		c.fault(path, CodeInvalidSplit, "the split has no service with a positive weight")
 	}
 }
 
-// compareSpecificity orders routes of equal host and prefix: more headers
-// first, then routes that name methods, then by path so that every node picks
-// the same route.
+// compareSpecificity orders routes of equal host and prefix: routes with more headers
+// come first, then routes with methods. Ties are broken by path, so that every node
+// picks the same route.
 func compareSpecificity(a, b *route) int {
 	if d := len(b.headers) - len(a.headers); d != 0 {
 		return d
--- a/node/router/explain.go
+++ b/node/router/explain.go
@@ -9,22 +9,24 @@
 	"sycamorerun"
 )
 
-// maxSteps bounds an explanation: one host may have thousands of routes.
+// maxSteps bounds the steps of an explanation, since a host may have thousands of
+// routes.
 const maxSteps = 64
 
-// Explanation says which routes a request was compared with, in the order of
-// preference, and why each fits or does not.
+// Explanation lists the routes that a request was compared with, in the order of
+// preference, and why each matches or does not.
 type Explanation struct {
 	Match Match
 	Found bool
 	Steps []Step
-	// Omitted is the number of routes of the request's host left out of Steps.
+	// Omitted is the number of routes of the request's host that are left out of
+	// Steps.
 	Omitted int
-	// Elsewhere is the number of routes that are for other hosts only.
-	Elsewhere int
+	// OtherHosts is the number of routes for other hosts only.
+	OtherHosts int
 }
 
-// Attributes describes how the chosen route's calls are handled, as one line.
+// Attributes describes in one line how calls of the chosen route are handled.
 func (e Explanation) Attributes() string {
 	text := fmt.Sprintf("rank %d, timeout %s", e.Match.Rank, e.Match.Timeout)
 	if e.Match.Objective > 0 {
@@ -36,13 +38,14 @@
 	return text
 }
 
-// Step is the comparison with one route.
+// Step is the result of comparing a request with one route.
 type Step struct {
 	Route sycamorerun.Path
-	// Host is the host of the route that fits the request's.
-	Host   string
-	Fits   bool
-	Reason string
+	// Host is the host of the route that matches the request's host.
+	Host string
+	// Matched says that the route is the chosen one.
+	Matched bool
+	Reason  string
 }
 
 // String formats the step as one line.
@@ -50,8 +53,8 @@
 	return fmt.Sprintf("%s (host %s): %s", s.Route, s.Host, s.Reason)
 }
 
-// Explain returns what Match chooses for the request and why. Routes that lose
-// only because of their prefix follow the ones that were compared in full.
+// Explain returns the choice of Match for the request and the reasons. Routes of the
+// host whose prefix does not match follow the routes that were compared in full.
 func (t *Table) Explain(request Request) Explanation {
 	result := Explanation{}
 	result.Match, result.Found = t.Match(request)
@@ -64,24 +67,24 @@
 		if !ok {
 			continue
 		}
-		for prefix := range prefixes(target) {
+		for prefix := range pathPrefixes(target) {
 			for _, route := range group.prefixes[prefix] {
 				step := Step{Route: route.path, Host: key}
-				step.Fits, step.Reason = route.compare(request, chosen)
-				chosen = chosen || step.Fits
+				step.Matched, step.Reason = route.explain(request, chosen)
+				chosen = chosen || step.Matched
 				compared[route.path] = true
 				full = append(full, step)
 			}
 		}
 		for _, prefix := range slices.Sorted(maps.Keys(group.prefixes)) {
-			if covers(prefix, target) {
+			if hasPathPrefix(prefix, target) {
 				continue
 			}
 			for _, route := range group.prefixes[prefix] {
 				compared[route.path] = true
 				others = append(others, Step{
 					Route: route.path, Host: key,
-					Reason: fmt.Sprintf("prefix %s does not fit path %s", shown(prefix), shown(target)),
+					Reason: fmt.Sprintf("prefix %s does not fit path %s", displayPrefix(prefix), displayPrefix(target)),
 				})
 			}
 		}
@@ -91,12 +94,14 @@
 		result.Omitted = len(result.Steps) - maxSteps
 		result.Steps = result.Steps[:maxSteps]
 	}
-	result.Elsewhere = len(t.routes) - len(compared)
+	result.OtherHosts = len(t.routes) - len(compared)
 	return result
 }
 
-func (r *route) compare(request Request, chosen bool) (fits bool, reason string) {
-	if !r.fitsMethod(request.Method) {
+// explain reports whether the request chooses the route, and why. If chosen is set, a
+// more specific route has been chosen before.
+func (r *route) explain(request Request, chosen bool) (matched bool, reason string) {
+	if !r.matchesMethod(request.Method) {
 		return false, fmt.Sprintf("method %s is not one of %s", request.Method, strings.Join(r.methods, ", "))
 	}
 	if missing := r.missingHeader(request.Header); missing != nil {
@@ -108,7 +113,7 @@
 	return true, "chosen"
 }
 
-func shown(prefix string) string {
+func displayPrefix(prefix string) string {
 	if prefix == "" {
 		return "/"
 	}
--- a/node/router/router_test.go
+++ b/node/router/router_test.go
@@ -35,8 +35,8 @@
 	return []sycamorerun.Target{{Service: service, Weight: 1}}
 }
 
-// TestMatch guards against a call reaching a less specific route, or a route
-// whose prefix only shares characters with the path.
+// TestMatch guards against matching a less specific route, or a route whose prefix
+// does not end at a segment boundary of the path.
 func TestMatch(t *testing.T) {
 	table, faults := Compile(tree(map[string]sycamorerun.Route{
 		"any":    {Prefix: "/", Split: to("a")},
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestCompileFaults guards against a table with a route to nowhere.
+// TestCompileFaults guards against compiling a table with invalid routes.
 func TestCompileFaults(t *testing.T) {
 	cases := map[string]struct {
 		route sycamorerun.Route
@@ -118,7 +118,7 @@
 	is.Equal(len(faults), 2)
 }
 
-// TestSplit guards against a share that differs from its weight.
+// TestSplit guards against a share of calls that differs from the weight of a service.
 func TestSplit(t *testing.T) {
 	is := is.New(t)
 	table, _ := Compile(tree(map[string]sycamorerun.Route{"r": {Prefix: "/", Split: []sycamorerun.Target{
@@ -132,8 +132,8 @@
 	is.Equal(counts, map[string]int{"a": 300, "c": 700})
 }
 
-// TestAttributes guards against a route whose own values lose to those of its
-// service or class, and against one without that gets none.
+// TestAttributes guards against values of a route that are overridden by those of its
+// service or class, and against missing defaults of a route that sets none.
 func TestAttributes(t *testing.T) {
 	cases := map[string]struct {
 		route sycamorerun.Route
@@ -157,17 +157,16 @@
 			source.Items["quoting/service/a"] = sycamorerun.Item(`{"timeout":"2s"}`)
 			table, faults := Compile(source)
 			is.Equal(faults, nil)
-			found := table.Explain(Request{Path: "/"})
-			got := Match{Rank: found.Match.Rank, Timeout: found.Match.Timeout, Objective: found.Match.Objective, Attempts: found.Match.Attempts}
+			explanation := table.Explain(Request{Path: "/"})
+			got := Match{Rank: explanation.Match.Rank, Timeout: explanation.Match.Timeout, Objective: explanation.Match.Objective, Attempts: explanation.Match.Attempts}
 			is.Equal(got, c.want)
-			is.Equal(found.Attributes(), c.text)
+			is.Equal(explanation.Attributes(), c.text)
 		})
 	}
 }
 
-// TestExplainAgrees guards against an explanation of another choice than the
-// one that Match makes, and against a table that keeps an item of the one
-// before it.
+// TestExplainAgrees guards against an Explain that disagrees with Match, and against a
+// recompiled table that keeps an outdated item of the previous one.
 func TestExplainAgrees(t *testing.T) {
 	var previous *Table
 	rapid.Check(t, func(t *rapid.T) {
@@ -204,7 +203,7 @@
 		}
 		var chosen sycamorerun.Path
 		for _, step := range explanation.Steps {
-			if step.Fits {
+			if step.Matched {
 				chosen = step.Route
 			}
 		}
--- a/node/router/status.go
+++ b/node/router/status.go
@@ -7,37 +7,38 @@
 	"sycamorerun"
 )
 
-// State says whether a route's services have upstreams.
+// State says whether the services of a route have upstreams.
 type State string
 
 // States of a route.
 const (
-	// Served means that each service of the split has an upstream.
+	// Served means that every service of the split has an upstream.
 	Served State = "served"
-	// Partial means that some service of the split has none; the calls drawn
-	// for it are not run.
+	// Partial means that some services of the split have no upstream. Calls drawn
+	// for these services are not run.
 	Partial State = "partial"
-	// Unserved means that no service of the split has one.
+	// Unserved means that no service of the split has an upstream.
 	Unserved State = "unserved"
 )
 
-// Target is a service of a route's split.
+// Target is a service in the split of a route.
 type Target struct {
 	Service string
-	// Share is the service's part of the route's calls, 0 to 1.
-	Share     float64
+	// Share is the fraction of the route's calls that go to the service.
+	Share float64
+	// Upstreams is the number of upstreams that take calls.
 	Upstreams int
 }
 
-// Status is a route and what its services have.
+// Status is the state of a route and of its targets.
 type Status struct {
 	Route   sycamorerun.Path
 	State   State
 	Targets []Target
 }
 
-// Statuses returns all routes in the order of their paths. The function
-// upstreams returns the number of upstreams of a service that take calls.
+// Statuses returns the status of all routes, sorted by path. The function upstreams
+// returns the number of upstreams of a service that take calls.
 func (t *Table) Statuses(upstreams func(service string) int) []Status {
 	result := make([]Status, 0, len(t.routes))
 	for _, route := range t.routes {
@@ -46,8 +47,8 @@
 	return result
 }
 
-// Degraded returns the routes that are not served. It runs after each change of
-// the members, so that it allocates nothing for served routes.
+// Degraded returns the status of the routes that are partial or unserved. It runs
+// after each change of the members and therefore allocates nothing for served routes.
 func (t *Table) Degraded(upstreams func(service string) int) []Status {
 	var result []Status
 	for _, route := range t.routes {
@@ -58,7 +59,7 @@
 	return result
 }
 
-// Status returns one route of the table.
+// Status returns the status of the route with path.
 func (t *Table) Status(path sycamorerun.Path, upstreams func(service string) int) (Status, bool) {
 	at, found := slices.BinarySearchFunc(t.routes, path, func(r *route, path sycamorerun.Path) int {
 		return cmp.Compare(r.path, path)
@@ -71,8 +72,8 @@
 
 func (r *route) state(upstreams func(service string) int) State {
 	empty := 0
-	for _, share := range r.split {
-		if upstreams(share.service) == 0 {
+	for _, target := range r.split {
+		if upstreams(target.service) == 0 {
 			empty++
 		}
 	}
@@ -88,12 +89,12 @@
 
 func (r *route) status(upstreams func(service string) int) Status {
 	status := Status{Route: r.path, State: r.state(upstreams)}
-	below := uint64(0)
-	for _, share := range r.split {
+	previous := uint64(0)
+	for _, target := range r.split {
 		status.Targets = append(status.Targets, Target{
-			Service: share.service, Share: float64(share.bound-below) / float64(r.total), Upstreams: upstreams(share.service),
+			Service: target.service, Share: float64(target.cumulativeWeight-previous) / float64(r.totalWeight), Upstreams: upstreams(target.service),
 		})
-		below = share.bound
+		previous = target.cumulativeWeight
 	}
 	return status
 }
--- a/node/router/table.go
+++ b/node/router/table.go
@@ -1,5 +1,5 @@
-// Package router compiles the settings tree to an immutable routing table,
-// matches requests against it and explains the choice.
+// Package router compiles the settings tree to an immutable routing table, matches
+// requests against the table and explains the choice of a route.
 package router
 
 import (
@@ -22,28 +22,29 @@
 	version  sycamorerun.Version
 	services map[string]sycamorerun.Service
 	// hosts is keyed by host name, "*.suffix" or anyHost.
-	hosts map[string]*group
-	// routes are in the order of their paths.
+	hosts map[string]*hostRoutes
+	// routes is sorted by path.
 	routes []*route
-	// decoded is what Recompile takes over.
-	decoded map[sycamorerun.Path]decoded
+	// decoded holds the decoded items for reuse by Recompile.
+	decoded map[sycamorerun.Path]decodedItem
 	limits  sycamorerun.Limits
 }
 
-// group holds the routes of one host by prefix, the most specific first.
-type group struct {
+// hostRoutes holds the routes of one host by prefix. The routes of a prefix are sorted
+// by specificity, the most specific one first.
+type hostRoutes struct {
 	prefixes map[string][]*route
 }
 
 type route struct {
-	path    sycamorerun.Path
-	prefix  string
-	methods []string
-	headers []header
-	class   sycamorerun.Class
-	repeat  string
-	split   []share
-	total   uint64
+	path        sycamorerun.Path
+	prefix      string
+	methods     []string
+	headers     []header
+	class       sycamorerun.Class
+	repeat      string
+	split       []splitTarget
+	totalWeight uint64
 
 	timeout   time.Duration
 	objective time.Duration
@@ -53,22 +54,22 @@
 
 type header struct{ name, value string }
 
-// share is a service's part of a split: the draws below bound that are not
-// below the bound of the share before it.
-type share struct {
-	service  string
-	settings sycamorerun.Service
-	bound    uint64
+// splitTarget is a service in a split. It gets the draws that are below its cumulative
+// weight but not below that of the previous target.
+type splitTarget struct {
+	service          string
+	settings         sycamorerun.Service
+	cumulativeWeight uint64
 }
 
-// Request holds the properties of a call that routes are compared with.
+// Request holds the properties of a call that are matched against routes.
 type Request struct {
 	Method string
 	// Host may carry a port.
 	Host   string
 	Path   string
 	Header http.Header
-	// Random selects among the services of a split; it is uniform.
+	// Random is a uniformly distributed number that selects a service of the split.
 	Random uint64
 }
 
@@ -80,15 +81,15 @@
 	Settings   sycamorerun.Service
 	Class      sycamorerun.Class
 	Repeatable bool
-	// Timeout bounds the whole call: the route's, or else the service's.
+	// Timeout bounds the whole call. It is set by the route or else by the service.
 	Timeout time.Duration
-	// Attempts bounds the upstreams that the call is sent to; zero means the
-	// node's default.
+	// Attempts is the maximum number of upstreams that the call is sent to; zero
+	// means the default of the node.
 	Attempts int
 	// Objective is the latency within which a response has its full value; zero
 	// means none.
 	Objective time.Duration
-	// Rank orders the calls of a queue, 1 first.
+	// Rank is the priority of the call in a queue; 1 is the most urgent.
 	Rank int
 }
 
@@ -98,19 +99,20 @@
 // Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.routes) }
 
-// Limits returns the limits for callers; zero fields are the node's own.
+// Limits returns the limits for callers. For fields that are zero, the limits of the
+// node apply.
 func (t *Table) Limits() sycamorerun.Limits { return t.limits }
 
-// Service returns the settings of the service with name.
+// Service returns the settings of the named service.
 func (t *Table) Service(name string) (sycamorerun.Service, bool) {
 	service, ok := t.services[name]
 	return service, ok
 }
 
-// Match returns the most specific route that fits the request. An exact host
-// ranks before a suffix, a longer suffix before a shorter one and any suffix
-// before no host at all; then the longest prefix decides, then the number of
-// headers, then whether methods are named.
+// Match returns the most specific route that matches the request. An exact host ranks
+// before a suffix, a longer suffix before a shorter one and any suffix before a route
+// without hosts. Ties are broken by the longest prefix, then by the number of headers,
+// then by whether the route has methods.
 func (t *Table) Match(request Request) (Match, bool) {
 	target := cleanPath(request.Path)
 	for key := range hostKeys(request.Host) {
@@ -118,9 +120,9 @@
 		if !ok {
 			continue
 		}
-		for prefix := range prefixes(target) {
+		for prefix := range pathPrefixes(target) {
 			for _, route := range group.prefixes[prefix] {
-				if route.fits(request) {
+				if route.matches(request) {
 					return t.match(route, request), true
 				}
 			}
@@ -130,15 +132,15 @@
 }
 
 func (t *Table) match(route *route, request Request) Match {
-	share := route.draw(request.Random)
+	target := route.draw(request.Random)
 	return Match{
 		Version:    t.version,
 		Route:      route.path,
-		Service:    share.service,
-		Settings:   share.settings,
+		Service:    target.service,
+		Settings:   target.settings,
 		Class:      route.class,
 		Repeatable: route.repeatable(request.Method),
-		Timeout:    cmp.Or(route.timeout, time.Duration(share.settings.Timeout)),
+		Timeout:    cmp.Or(route.timeout, time.Duration(target.settings.Timeout)),
 		Attempts:   route.attempts,
 		Objective:  route.objective,
 		Rank:       route.rank,
@@ -147,26 +149,27 @@
 
 func (t *Table) add(host string, added *route) {
 	if t.hosts[host] == nil {
-		t.hosts[host] = &group{prefixes: map[string][]*route{}}
+		t.hosts[host] = &hostRoutes{prefixes: map[string][]*route{}}
 	}
 	t.hosts[host].prefixes[added.prefix] = append(t.hosts[host].prefixes[added.prefix], added)
 }
 
-func (r *route) draw(random uint64) share {
-	draw := random % r.total
-	for _, share := range r.split {
-		if draw < share.bound {
-			return share
+// draw selects a target of the split by weight.
+func (r *route) draw(random uint64) splitTarget {
+	draw := random % r.totalWeight
+	for _, target := range r.split {
+		if draw < target.cumulativeWeight {
+			return target
 		}
 	}
 	panic("router: a draw below the total has a share")
 }
 
-func (r *route) fits(request Request) bool {
-	return r.fitsMethod(request.Method) && r.missingHeader(request.Header) == nil
+func (r *route) matches(request Request) bool {
+	return r.matchesMethod(request.Method) && r.missingHeader(request.Header) == nil
 }
 
-func (r *route) fitsMethod(method string) bool {
+func (r *route) matchesMethod(method string) bool {
 	return len(r.methods) == 0 || slices.Contains(r.methods, method)
 }
 
@@ -180,7 +183,8 @@
 	return nil
 }
 
-// repeatable applies the setting, or else the idempotent methods of RFC 9110.
+// repeatable reports whether a call may run more than once. By default this holds for
+// the idempotent methods of RFC 9110.
 func (r *route) repeatable(method string) bool {
 	switch r.repeat {
 	case sycamorerun.RepeatAlways:
@@ -195,7 +199,7 @@
 	return false
 }
 
-// hostKeys yields the index keys that fit host, the most specific first.
+// hostKeys yields the index keys that match host, the most specific first.
 func hostKeys(host string) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		name := cleanHost(host)
@@ -216,9 +220,9 @@
 	}
 }
 
-// prefixes yields target and its parents on segment boundaries, with and
-// without their final slash, the longest first and the empty prefix last.
-func prefixes(target string) func(yield func(string) bool) {
+// pathPrefixes yields target and its parents on segment boundaries, with and without a
+// trailing slash, the longest first and the empty prefix last.
+func pathPrefixes(target string) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for yield(target) && target != "" {
 			if parent, ok := strings.CutSuffix(target, "/"); ok {
@@ -230,8 +234,8 @@
 	}
 }
 
-// covers reports whether prefixes(target) has prefix.
-func covers(prefix, target string) bool {
+// hasPathPrefix reports whether pathPrefixes(target) yields prefix.
+func hasPathPrefix(prefix, target string) bool {
 	rest, ok := strings.CutPrefix(target, prefix)
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
 }
@@ -245,19 +249,19 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// cleanPath resolves dot and empty segments, so that a path such as
-// /quotes/../admin is not matched as one below /quotes. A final slash stays. The
-// root is the empty string.
+// cleanPath resolves dot and empty segments, so that a path such as /quotes/../admin
+// does not match the prefix /quotes. It keeps a trailing slash and returns the empty
+// string for the root.
 func cleanPath(target string) string {
 	if target == "" || target == "/" || target[0] != '/' {
 		return ""
 	}
 	if strings.Contains(target, "//") || strings.Contains(target, "/.") {
-		final := strings.HasSuffix(target, "/")
+		trailingSlash := strings.HasSuffix(target, "/")
 		if target = path.Clean(target); target == "/" {
 			return ""
 		}
-		if final {
+		if trailingSlash {
 			target += "/"
 		}
 	}
