--- a/node/balancer/balancer_test.go
+++ b/node/balancer/balancer_test.go
@@ -142,8 +142,8 @@
 	is.Equal(ok, false)
 }
 
-// TestNoHerd guards against sending most calls to an upstream that has reported that
-// it is idle, above all when its report is stale.
+// TestNoHerd guards against sending most calls to an upstream that looks idle. If its
+// report is stale, it must not attract more than a usual share.
 func TestNoHerd(t *testing.T) {
 	for name, age := range map[string]time.Duration{"fresh": 0, "stale": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
--- a/node/balancer/stats.go
+++ b/node/balancer/stats.go
@@ -30,8 +30,8 @@
 	maxEjectionTime  = time.Minute
 	// baseUnreachableTime and maxUnreachableTime bound the ejection of an instance
 	// that can't be connected to. One failure is enough, since each costs a call
-	// the connect timeout. The ejection is short, since an address answers again
-	// soon after a restart.
+	// the time of a connection attempt. The ejection is short, since an address
+	// answers again soon after a restart.
 	baseUnreachableTime = time.Second
 	maxUnreachableTime  = 5 * time.Second
 	// maxFullTime bounds the time for which an instance is avoided because it has
--- a/node/limiter/limiter.go
+++ b/node/limiter/limiter.go
@@ -46,7 +46,7 @@
 	Rank int
 	// Deadline is the time by which the call must end; zero means none.
 	Deadline time.Time
-	// Objective is the latency within which a response has its newFullLimiter value; zero
+	// Objective is the latency within which a response has its full value; zero
 	// means none.
 	Objective time.Duration
 	// Arrived is the time when the call entered the fleet; zero means now. Calls of
