--- a/node/distributor/deputy.go
+++ b/node/distributor/deputy.go
@@ -32,7 +32,7 @@
 	var takeoverStart time.Time
 	for sleep(ctx, time.Duration((0.75+0.5*d.Random())*float64(monitorPeriod))) {
 		plan := d.Plan()
-		rank := slices.Index(plan.Deputies, d.Self)
+		rank := slices.Index(plan.BackupWatchers, d.Self)
 		switch {
 		case rank < 0 || !d.Ready():
 			d.setTakeover(false)
@@ -47,7 +47,7 @@
 			if time.Since(takeoverStart) >= minTakeover && d.anyWatching(ctx, plan.Watchers) {
 				d.setTakeover(false)
 			}
-		case d.shouldTakeOver(ctx, plan.Watchers, plan.Deputies[:rank]) && ctx.Err() == nil:
+		case d.shouldTakeOver(ctx, plan.Watchers, plan.BackupWatchers[:rank]) && ctx.Err() == nil:
 			level.Warn(d.Logger).Log("msg", "no planned watcher reaches the store; watching in their place", "rank", rank)
 			takeoverStart = time.Now()
 			d.setTakeover(true)
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -76,7 +76,7 @@
 	const both, local, peer = 0, 1, 2
 	fillSlots := func(fx *fixture) {
 		fx.limiter.Resize(limiter.Limits{Slots: 1, Queue: 1})
-		_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
+		_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Request{})
 	}
 	cases := map[string]struct {
 		path    int
@@ -202,7 +202,7 @@
 		"idle in the queue": { // not canceled by its caller, so it may be tried elsewhere
 			setUp: func(fx *fixture) {
 				fx.limiter.Resize(limiter.Limits{Slots: 1, Queue: 2})
-				_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
+				_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Request{})
 				fx.match.Idle = 100 * time.Millisecond
 			},
 			want: Attempt{Result: sycamorerun.NotRun, Reason: "idle"},
--- a/node/forwarder/failure_test.go
+++ b/node/forwarder/failure_test.go
@@ -171,7 +171,7 @@
 		"deadline in the queue": {
 			setUp: func(fx *fixture) {
 				fx.limiter.Resize(limiter.Limits{Slots: 1, Queue: 1})
-				_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
+				_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Request{})
 			},
 			header: []string{sycamorerun.HeaderDeadline, "30"},
 			want:   callResult{status: 503, outcome: "not-run", reason: "deadline"},
@@ -179,7 +179,7 @@
 		"idle in the queue": {
 			setUp: func(fx *fixture) {
 				fx.limiter.Resize(limiter.Limits{Slots: 1, Queue: 2})
-				_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Want{})
+				_, _ = fx.limiter.Acquire(context.Background(), time.Now(), limiter.Request{})
 				fx.match.Idle = 100 * time.Millisecond
 			},
 			want: callResult{status: 503, outcome: "not-run", reason: "idle"},
--- a/node/forwarder/fixture_test.go
+++ b/node/forwarder/fixture_test.go
@@ -120,7 +120,7 @@
 	}
 	f.HasOtherInstance = func(_ string, excluded []string) bool { return len(excluded) < len(fx.instances) }
 	f.Acquire = func(ctx context.Context, now time.Time, request SlotRequest) (func(), Rejection) {
-		release, refusal := fx.limiter.Acquire(ctx, now, limiter.Want(request))
+		release, refusal := fx.limiter.Acquire(ctx, now, limiter.Request(request))
 		return release, Rejection(refusal)
 	}
 	f.Load = func(Match) *Load { return &Load{Running: uint32(fx.limiter.Load().Running), Slots: 6} }
--- a/node/planner/watchers_test.go
+++ b/node/planner/watchers_test.go
@@ -10,9 +10,9 @@
 	"sycamorerun/node/planner"
 )
 
-// Guards against far watchers while near ones exist, against watchers that one
-// availability zone takes along, and against a fleet that leaves the store to
-// members that can't reach it.
+// TestWatchers guards against choosing distant watchers while near ones exist,
+// against choosing all watchers in one availability zone, and against preferring
+// members that can't reach the store.
 func TestWatchers(t *testing.T) {
 	cases := map[string]struct {
 		distances []int // of the members, which alternate between 3 zones
@@ -37,7 +37,7 @@
 			distances, zones := map[int]int{}, map[string]bool{}
 			for _, member := range members {
 				plan := planner.New(member.Name, members, planner.Options{Watchers: 3})
-				is.Equal(len(plan.Watchers)+len(plan.Deputies), len(members))
+				is.Equal(len(plan.Watchers)+len(plan.BackupWatchers), len(members))
 				if plan.Watch == planner.Primary {
 					distances[member.Distance]++
 					zones[member.AvailabilityZone] = true
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -52,7 +52,7 @@
 	})
 	c.retrier.Budget = retrier.Budget{Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack}
 	c.retrier.Members = func() int { return len(members()) }
-	c.retrier.Place = func() int {
+	c.retrier.MemberIndex = func() int {
 		place := 0
 		for _, member := range members() {
 			if member.Name < settings.Name {
@@ -93,31 +93,31 @@
 	f.Observe = func(now time.Time, o forwarder.Observation) {
 		c.balancer.Observe(now, observation(o))
 		if o.Result == sycamorerun.Answered {
-			c.retrier.Ran(now, o.Service, o.HeadLatency)
+			c.retrier.RecordRunTime(now, o.Service, o.HeadLatency)
 		}
 	}
 	f.HasOtherInstance = func(service string, than []string) bool { return others(instances(service), than) }
 	f.Owner = func(service, key string) (sycamorerun.Instance, bool) { return owner(instances(service), key) }
-	f.CountCall = c.retrier.Call
+	f.CountCall = c.retrier.RecordCall
 	f.AllowRetry = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
 		return c.retrier.Allow(now, retrier.Attempt{
-			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, Same: a.SameInstance, Left: a.Left,
-			Level: a.CallerAttempt, Result: a.Result,
-			Repeatable: a.Repeatable, Consumed: a.Consumed, Passed: a.ResponseStarted,
+			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, SameInstance: a.SameInstance, TimeLeft: a.Left,
+			ParentAttempt: a.CallerAttempt, Result: a.Result,
+			Repeatable: a.Repeatable, Consumed: a.Consumed, ResponseStarted: a.ResponseStarted,
 		})
 	}
 	f.Acquire = func(ctx context.Context, now time.Time, want forwarder.SlotRequest) (func(), forwarder.Rejection) {
 		if !c.upstream.admits(forwarder.ServiceOf(ctx)) {
 			return nil, forwarder.Rejection{Reason: limiter.Draining}
 		}
-		release, refusal := c.limiter.Acquire(ctx, now, limiter.Want(want))
+		release, refusal := c.limiter.Acquire(ctx, now, limiter.Request(want))
 		return release, forwarder.Rejection(refusal)
 	}
 	f.Load = func(match forwarder.Match) *forwarder.Load {
 		load := c.limiter.Load()
 		return &forwarder.Load{
 			Running: uint32(load.Running), Queued: uint32(load.Queued), Slots: uint32(load.Slots),
-			RunUs: c.limiter.Run(match.Rank, match.Objective).Microseconds(),
+			RunUs: c.limiter.MeanRunTime(match.Rank, match.Objective).Microseconds(),
 		}
 	}
 	f.Begin = func(now time.Time, claim forwarder.Claim) sycamorerun.Decision {
@@ -154,7 +154,7 @@
 	if o.Load != nil {
 		result.Load = &balancer.Load{
 			Running: int(o.Load.GetRunning()), Queued: int(o.Load.GetQueued()), Slots: int(o.Load.GetSlots()),
-			Run: time.Duration(o.Load.GetRunUs()) * time.Microsecond,
+			RunTime: time.Duration(o.Load.GetRunUs()) * time.Microsecond,
 		}
 	}
 	return result
