--- a/node/connector/conn.go
+++ b/node/connector/conn.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// Await says that a call on the stream begins to wait for the peer, or ends. While
+// SetAwaiting says that a call on the stream begins to wait for the peer, or ends. While
 // calls wait, a silent session is found sooner.
-func (s *stream) Await(waits bool) { s.connector.await(s.session, waits) }
+func (s *stream) SetAwaiting(waits bool) { s.connector.await(s.session, waits) }
 
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
--- a/node/connector/failure_test.go
+++ b/node/connector/failure_test.go
@@ -155,7 +155,7 @@
 			is.NoErr(err)
 			defer stream.Close()
 			is.NoErr(ask(stream))
-			stream.(interface{ Await(bool) }).Await(true)
+			stream.(interface{ SetAwaiting(bool) }).SetAwaiting(true)
 			c.silence(p)
 			began := time.Now()
 			err = ask(stream)
--- a/node/forwarder/frame.go
+++ b/node/forwarder/frame.go
@@ -97,8 +97,8 @@
 
 // await tells the session whether a call waits on the stream.
 func (l *link) await(waits bool) {
-	if waiter, ok := l.conn.(interface{ Await(bool) }); ok {
-		waiter.Await(waits)
+	if waiter, ok := l.conn.(interface{ SetAwaiting(bool) }); ok {
+		waiter.SetAwaiting(waits)
 	}
 }
 
