--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -148,10 +148,10 @@
 	}
 	n.seeder = &seeder.Seeder{
 		Self: n.self, Store: n.store, Fixed: n.settings.Seeds,
-		Keeper: func() bool { return n.fleet.plan().Seed },
-		Live:   n.tracker.Live,
-		Now:    time.Now,
-		Logger: n.logger,
+		IsMaintainer: func() bool { return n.fleet.plan().Seed },
+		Live:         n.tracker.Live,
+		Now:          time.Now,
+		Logger:       n.logger,
 	}
 	n.tracker.Seeds = n.seeder.Seeds
 }
--- a/node/seeder/seeder.go
+++ b/node/seeder/seeder.go
@@ -53,11 +53,11 @@
 	// Fixed are the peers from the settings; the store is not asked when
 	// there are any.
 	Fixed []netip.AddrPort
-	// Keeper reports whether this node keeps its availability zone's record.
-	Keeper func() bool
-	Live   func(now time.Time) []sycamorerun.Instance
-	Now    func() time.Time
-	Logger log.Logger
+	// IsMaintainer reports whether this node keeps its availability zone's record.
+	IsMaintainer func() bool
+	Live         func(now time.Time) []sycamorerun.Instance
+	Now          func() time.Time
+	Logger       log.Logger
 
 	// seen is the revision of the stored record that was read last, since the
 	// time of its first reading.
@@ -85,7 +85,7 @@
 // Run keeps the zone's record while this node is the one to do so.
 func (s *Seeder) Run(ctx context.Context) error {
 	for {
-		if s.Keeper() {
+		if s.IsMaintainer() {
 			if err := s.keep(ctx); err != nil && ctx.Err() == nil {
 				level.Debug(s.Logger).Log("msg", "seed record not written", "err", err)
 			}
