--- a/node/connector/conn.go
+++ b/node/connector/conn.go
@@ -12,115 +12,116 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// wire counts the bytes of a connection, TLS overhead included, and remembers
-// when the last ones arrived.
-type wire struct {
+// meteredConn counts the bytes of a connection, TLS overhead included, and
+// records when data last arrived.
+type meteredConn struct {
 	net.Conn
-	in, out atomic.Int64
-	// segmentsIn, segmentsOut, headersIn and headersOut are counted by the
-	// kernel and taken over by sample.
+	bytesIn, bytesOut atomic.Int64
+	// segmentsIn, segmentsOut, headersIn and headersOut come from the kernel's
+	// counters. sample updates them.
 	segmentsIn, segmentsOut atomic.Int64
 	headersIn, headersOut   atomic.Int64
 	segments                *segmentCounter
-	// received is the time of the last read, from opened on. Go takes the
-	// difference of two times from the monotonic clock, which is never set.
-	received atomic.Int64
-	opened   time.Time
+	// lastReceived is the time of the last read as an offset from opened. Go
+	// subtracts times by the monotonic clock, so clock adjustments have no effect.
+	lastReceived atomic.Int64
+	opened       time.Time
 }
 
-func newWire(conn net.Conn, now time.Time) *wire {
-	return &wire{Conn: conn, segments: newSegmentCounter(conn), opened: now}
+func newMeteredConn(conn net.Conn, now time.Time) *meteredConn {
+	return &meteredConn{Conn: conn, segments: newSegmentCounter(conn), opened: now}
 }
 
-func (w *wire) Read(p []byte) (int, error) {
-	n, err := w.Conn.Read(p)
+func (m *meteredConn) Read(p []byte) (int, error) {
+	n, err := m.Conn.Read(p)
 	if n > 0 {
-		w.in.Add(int64(n))
-		w.received.Store(int64(time.Since(w.opened)))
+		m.bytesIn.Add(int64(n))
+		m.lastReceived.Store(int64(time.Since(m.opened)))
 	}
 	return n, err
 }
 
-func (w *wire) Write(p []byte) (int, error) {
-	n, err := w.Conn.Write(p)
-	w.out.Add(int64(n))
+func (m *meteredConn) Write(p []byte) (int, error) {
+	n, err := m.Conn.Write(p)
+	m.bytesOut.Add(int64(n))
 	return n, err
 }
 
-// sample takes over what the kernel has counted since the last call.
-func (w *wire) sample() {
-	in, out, inBytes, outBytes := w.segments.advance()
-	w.segmentsIn.Add(in)
-	w.segmentsOut.Add(out)
-	w.headersIn.Add(inBytes)
-	w.headersOut.Add(outBytes)
+// sample adds the kernel's counts since the last call.
+func (m *meteredConn) sample() {
+	in, out, inBytes, outBytes := m.segments.delta()
+	m.segmentsIn.Add(in)
+	m.segmentsOut.Add(out)
+	m.headersIn.Add(inBytes)
+	m.headersOut.Add(outBytes)
 }
 
-// Close samples first, since the kernel's counts end with the connection.
-func (w *wire) Close() error {
-	w.sample()
-	return w.Conn.Close()
+// Close samples first, since the kernel drops its counters with the connection.
+func (m *meteredConn) Close() error {
+	m.sample()
+	return m.Conn.Close()
 }
 
-// silence returns how long nothing has arrived.
-func (w *wire) silence(now time.Time) time.Duration {
-	return now.Sub(w.opened) - time.Duration(w.received.Load())
+// silence returns the time since data last arrived.
+func (m *meteredConn) silence(now time.Time) time.Duration {
+	return now.Sub(m.opened) - time.Duration(m.lastReceived.Load())
 }
 
-// Parts of a yamux frame: the header has the version, the type, two bytes of
-// flags, four of the stream and four of the length.
+// Sizes for coalescing yamux frames. A frame header holds the version, the
+// type, two bytes of flags, four of the stream ID and four of the length.
 const (
-	headerBytes = 12
-	// joinedBytes is the longest body that is kept in the joiner's own buffer.
-	joinedBytes = 1400
-	// recordBytes is what a TLS record holds at most.
-	recordBytes = 16 << 10
+	frameHeaderBytes = 12
+	// maxCoalescedBytes is the longest body that is copied into the buffer of the
+	// frameCoalescer itself.
+	maxCoalescedBytes = 1400
+	// maxRecordBytes is the maximum payload of a TLS record.
+	maxRecordBytes = 16 << 10
 )
 
-// records are buffers for the first record of a longer frame.
-var records = sync.Pool{New: func() any { return new([recordBytes]byte) }}
+// recordBuffers pools buffers for the first TLS record of a longer frame.
+var recordBuffers = sync.Pool{New: func() any { return new([maxRecordBytes]byte) }}
 
-// joiner sends a yamux frame's header and body together. Yamux writes them one
-// after the other, which would cost a second TLS record and a second system
-// call for each frame.
-type joiner struct {
+// frameCoalescer writes the header and body of a yamux frame together. Yamux
+// writes them separately, which would cost a second TLS record and a second
+// system call for each frame.
+type frameCoalescer struct {
 	net.Conn
-	// header is the one that waits for its body. Only yamux's sending
-	// goroutine writes.
-	header []byte
+	// pendingHeader is the header of a frame whose body has not been written yet.
+	// It needs no lock, since only yamux's sending goroutine writes.
+	pendingHeader []byte
 }
 
-func (j *joiner) Write(p []byte) (int, error) {
-	if len(j.header) == 0 && dataHeader(p) {
-		j.header = append(j.header, p...)
+func (f *frameCoalescer) Write(p []byte) (int, error) {
+	if len(f.pendingHeader) == 0 && isDataHeader(p) {
+		f.pendingHeader = append(f.pendingHeader, p...)
 		return len(p), nil
 	}
-	if len(j.header) == 0 {
-		return j.Conn.Write(p)
+	if len(f.pendingHeader) == 0 {
+		return f.Conn.Write(p)
 	}
-	frame := j.header
-	j.header = j.header[:0]
-	if len(p) <= joinedBytes {
+	frame := f.pendingHeader
+	f.pendingHeader = f.pendingHeader[:0]
+	if len(p) <= maxCoalescedBytes {
 		joined := append(frame, p...)
-		j.header = joined[:0]
-		n, err := j.Conn.Write(joined)
-		return max(n-headerBytes, 0), err
+		f.pendingHeader = joined[:0]
+		n, err := f.Conn.Write(joined)
+		return max(n-frameHeaderBytes, 0), err
 	}
-	record := records.Get().(*[recordBytes]byte)
+	record := recordBuffers.Get().(*[maxRecordBytes]byte)
 	n := copy(record[:], frame)
 	first := copy(record[n:], p)
-	sent, err := j.Conn.Write(record[:n+first])
-	records.Put(record)
+	sent, err := f.Conn.Write(record[:n+first])
+	recordBuffers.Put(record)
 	if err != nil || first == len(p) {
 		return max(sent-n, 0), err
 	}
-	sent, err = j.Conn.Write(p[first:])
+	sent, err = f.Conn.Write(p[first:])
 	return first + sent, err
 }
 
-// dataHeader reports whether p is the header of a data frame with a body.
-func dataHeader(p []byte) bool {
-	return len(p) == headerBytes && p[0] == 0 && p[1] == 0 && binary.BigEndian.Uint32(p[8:]) > 0
+// isDataHeader reports whether p is the header of a data frame with a body.
+func isDataHeader(p []byte) bool {
+	return len(p) == frameHeaderBytes && p[0] == 0 && p[1] == 0 && binary.BigEndian.Uint32(p[8:]) > 0
 }
 
 // stream counts the payload bytes of one stream.
@@ -138,9 +139,9 @@
 	}
 }
 
-// SetAwaiting says that a call on the stream begins to wait for the peer, or ends. While
-// calls wait, a silent session is found sooner.
-func (s *stream) SetAwaiting(waits bool) { s.connector.await(s.session, waits) }
+// SetAwaiting records whether a call on the stream is waiting for the peer. A
+// silent session is detected sooner while calls are waiting.
+func (s *stream) SetAwaiting(waiting bool) { s.connector.setAwaiting(s.session, waiting) }
 
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
@@ -148,12 +149,12 @@
 	return n, err
 }
 
-// Write returns an error that is net.ErrClosed if the stream had ended before,
-// so that nothing of p was sent. Other errors of yamux leave that open: a frame
-// that waits in its queue may still be written.
+// Write returns an error that wraps net.ErrClosed if the stream was already
+// closed, so that no byte of p was sent. After other yamux errors p may have been
+// sent: a frame in yamux's send queue may still be written.
 func (s *stream) Write(p []byte) (int, error) {
 	if s.session.mux.IsClosed() {
-		return 0, errors.Wrap(net.ErrClosed, "session ended")
+		return 0, errors.Wrap(net.ErrClosed, "write to a stream of a closed session")
 	}
 	n, err := s.Conn.Write(p)
 	s.out.Inc(int64(n))
@@ -163,20 +164,20 @@
 	return n, err
 }
 
-// Close ends both directions, as net.Conn requires. A yamux stream's own Close
-// ends only the sending one and leaves readers blocked.
+// Close closes both directions, as net.Conn requires. Close of a yamux stream
+// closes only the sending direction and leaves readers blocked.
 func (s *stream) Close() error {
 	_ = s.SetReadDeadline(time.Unix(1, 0))
 	return s.Conn.Close()
 }
 
-// Shrink frees the receive buffer when it is empty. Yamux keeps it at the size
-// of the largest backlog, up to 256 KiB.
+// Shrink frees the receive buffer if it is empty. Yamux otherwise keeps it at
+// the size of the largest backlog, up to 256 KiB.
 func (s *stream) Shrink() {
 	if shrinker, ok := s.Conn.(interface{ Shrink() }); ok {
 		shrinker.Shrink()
 	}
 }
 
-// CloseWrite ends the sending direction; the peer's bytes can still be read.
+// CloseWrite closes the sending direction. Data from the peer can still be read.
 func (s *stream) CloseWrite() error { return s.Conn.Close() }
--- a/node/connector/connector.go
+++ b/node/connector/connector.go
@@ -1,6 +1,6 @@
-// Package connector keeps sessions with peers: TCP, optionally mutual TLS 1.3,
-// a hello exchange, and yamux streams that are told apart by kind. Either end
-// of a session opens streams on it.
+// Package connector manages sessions with peers. A session is a TCP connection,
+// optionally with mutual TLS 1.3, that starts with a hello exchange and carries
+// yamux streams of several kinds. Either end of a session can open streams.
 package connector
 
 import (
@@ -17,11 +17,11 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// ErrClosed means that the connector does not run.
+// ErrClosed means that the connector is not running.
 var ErrClosed = errors.New("connector closed")
 
-// Handler serves one inbound stream, which is closed when it returns. ctx ends
-// with the session.
+// Handler serves one inbound stream, which is closed when the handler returns.
+// ctx is canceled when the session ends.
 type Handler = func(ctx context.Context, from Peer, stream net.Conn)
 
 type phase int
@@ -32,12 +32,12 @@
 	stopped
 )
 
-// Connector opens and accepts sessions. The exported fields are set before
-// Bind or Run, but for Self.Address, which may follow Bind.
+// Connector opens and accepts sessions. Set the exported fields before Bind or
+// Run; only Self.Address may be set after Bind.
 type Connector struct {
 	Self Peer
-	// TLS holds this node's certificate and the cluster's CA as RootCAs. Nil
-	// means plain TCP, for tests.
+	// TLS holds this node's certificate, and the cluster's CA as RootCAs. Nil
+	// means plain TCP, which is meant for tests.
 	TLS      *tls.Config
 	Listen   netip.AddrPort
 	Handlers map[string]Handler
@@ -47,25 +47,27 @@
 
 	limits  Limits
 	metrics *metrics
-	// streams ends after the drain and is the parent of the handlers' contexts.
-	streams  context.Context
-	cancel   context.CancelFunc
-	listener net.Listener
-	// slots and handshakes bound the inbound sessions.
-	slots, handshakes chan struct{}
+	// streamCtx is the parent of the handlers' contexts. It is canceled after the
+	// drain.
+	streamCtx context.Context
+	cancel    context.CancelFunc
+	listener  net.Listener
+	// sessionSlots and handshakeSlots are semaphores for inbound sessions.
+	sessionSlots, handshakeSlots chan struct{}
 
 	mu    sync.Mutex
 	phase phase
-	// sessions maps the addresses that peers announce. The last session of
-	// a list takes the new streams.
+	// sessions holds the sessions of each announced peer address. New streams go
+	// to the last session of a list.
 	sessions map[netip.AddrPort][]*session
-	// aliases maps dialled addresses to announced ones where they differ.
+	// aliases maps dialled addresses to announced addresses where they differ.
 	aliases map[netip.AddrPort]netip.AddrPort
 	targets map[netip.AddrPort]*target
 }
 
-// Bind starts to listen and returns the address, for a Listen with port zero.
-// Open works from then on. Run binds by itself otherwise.
+// Bind starts listening and returns the actual address, which differs from
+// Listen if its port is zero. Open can be used afterwards. Run calls Bind if the
+// caller did not.
 func (c *Connector) Bind() (netip.AddrPort, error) {
 	listener, err := net.Listen("tcp", c.Listen.String())
 	if err != nil {
@@ -76,8 +78,8 @@
 	return netip.ParseAddrPort(listener.Addr().String())
 }
 
-// Run accepts sessions until ctx ends. It then tells all peers that it accepts
-// no more streams and waits for those in flight.
+// Run accepts sessions until ctx is canceled. It then tells all peers that it
+// accepts no more streams, and waits for the streams in flight.
 func (c *Connector) Run(ctx context.Context) error {
 	if c.listener == nil {
 		if _, err := c.Bind(); err != nil {
@@ -85,7 +87,7 @@
 		}
 	}
 	defer c.cancel()
-	go c.sweep(c.streams)
+	go c.sweep(c.streamCtx)
 	stop := context.AfterFunc(ctx, func() { _ = c.listener.Close() })
 	defer stop()
 	for {
@@ -94,10 +96,10 @@
 			break
 		}
 		if err != nil {
-			// Out of descriptors, for example. Accepting again at once would
-			// spin.
-			level.Warn(c.Logger).Log("msg", "accept failed", "err", err)
-			time.Sleep(backoffLeast)
+			// The process may be out of file descriptors. Retrying without a delay
+			// would busy-loop.
+			level.Warn(c.Logger).Log("msg", "accepting a connection failed; retrying after a delay", "err", err)
+			time.Sleep(minBackoff)
 			continue
 		}
 		c.admit(conn)
@@ -117,41 +119,41 @@
 	}
 	c.limits = c.Limits.withDefaults()
 	c.metrics = newMetrics(c.Scope)
-	c.streams, c.cancel = context.WithCancel(context.Background())
-	c.slots = make(chan struct{}, c.limits.Sessions)
-	c.handshakes = make(chan struct{}, c.limits.Handshakes)
+	c.streamCtx, c.cancel = context.WithCancel(context.Background())
+	c.sessionSlots = make(chan struct{}, c.limits.Sessions)
+	c.handshakeSlots = make(chan struct{}, c.limits.Handshakes)
 	c.sessions = map[netip.AddrPort][]*session{}
 	c.aliases = map[netip.AddrPort]netip.AddrPort{}
 	c.targets = map[netip.AddrPort]*target{}
 	c.phase = running
 }
 
-// admit serves an inbound connection unless too many are open.
+// admit starts to handle an inbound connection unless a limit is reached.
 func (c *Connector) admit(conn net.Conn) {
 	select {
-	case c.slots <- struct{}{}:
+	case c.sessionSlots <- struct{}{}:
 	default:
 		c.metrics.rejected("sessions")
 		_ = conn.Close()
 		return
 	}
 	select {
-	case c.handshakes <- struct{}{}:
+	case c.handshakeSlots <- struct{}{}:
 	default:
-		<-c.slots
+		<-c.sessionSlots
 		c.metrics.rejected("handshakes")
 		_ = conn.Close()
 		return
 	}
-	go c.welcome(conn)
+	go c.handleConn(conn)
 }
 
-func (c *Connector) welcome(conn net.Conn) {
-	defer func() { <-c.slots }()
-	ctx, cancel := context.WithTimeout(c.streams, c.limits.Dial)
+func (c *Connector) handleConn(conn net.Conn) {
+	defer func() { <-c.sessionSlots }()
+	ctx, cancel := context.WithTimeout(c.streamCtx, c.limits.Dial)
 	s, err := c.establish(ctx, conn, false)
 	cancel()
-	<-c.handshakes
+	<-c.handshakeSlots
 	if err == nil {
 		err = c.register(s, netip.AddrPort{})
 	}
@@ -160,10 +162,11 @@
 		level.Debug(c.Logger).Log("msg", "inbound session rejected", "remote", conn.RemoteAddr(), "err", err)
 		return
 	}
-	c.accept(s)
+	c.acceptStreams(s)
 }
 
-// drain waits until no stream is open or the drain time has passed.
+// drain stops accepting streams, waits until none is open or Limits.Drain has
+// passed, and closes all sessions.
 func (c *Connector) drain() {
 	c.mu.Lock()
 	c.phase = stopped
@@ -172,7 +175,7 @@
 		go s.mux.GoAway()
 	}
 	deadline := time.Now().Add(c.limits.Drain)
-	for time.Now().Before(deadline) && c.inFlight() > 0 {
+	for time.Now().Before(deadline) && c.streamsInFlight() > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, s := range c.all() {
@@ -180,7 +183,7 @@
 	}
 }
 
-func (c *Connector) inFlight() int {
+func (c *Connector) streamsInFlight() int {
 	streams := 0
 	for _, s := range c.all() {
 		streams += s.mux.NumStreams()
@@ -188,24 +191,25 @@
 	return streams
 }
 
-// Open opens a stream to the peer at an address over a live session, or over
-// a new one. It fails at once while dials to the peer back off.
+// Open opens a stream to the peer at an address over a live session, or over a
+// new session if there is none. It fails immediately while dials to the peer are
+// backing off.
 func (c *Connector) Open(ctx context.Context, to netip.AddrPort, kind string) (net.Conn, error) {
-	// The second round uses the session that the first one dialled, the third
-	// one covers a session that ends in between.
+	// The second round uses the session that the first round dialled. The third
+	// round covers a session that ends in between.
 	for range 3 {
 		for _, s := range c.candidates(time.Now(), to) {
 			conn, err := s.open(kind)
 			if err == nil {
 				return c.wrap(s, conn, kind), nil
 			}
-			level.Debug(c.Logger).Log("msg", "stream not opened", "peer", s.peer.Name, "kind", kind, "err", err)
+			level.Debug(c.Logger).Log("msg", "opening a stream failed", "peer", s.peer.Name, "kind", kind, "err", err)
 		}
 		if err := c.dial(ctx, to); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.Errorf("sessions to %s end before a stream is open", to)
+	return nil, errors.Errorf("open stream to %s: each session ended before the stream was open", to)
 }
 
 // Sessions returns the number of open sessions.
--- a/node/connector/connector_test.go
+++ b/node/connector/connector_test.go
@@ -15,14 +15,14 @@
 	"sycamorerun/node/connector"
 )
 
-// patience bounds each wait for something that another goroutine does.
-const patience = 10 * time.Second
+// waitTimeout bounds each wait for another goroutine.
+const waitTimeout = 10 * time.Second
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// start runs a connector that answers streams of kind "echo". A zero
-// address announces the one it listens on.
-func start(t testing.TB, name string, config *tls.Config, change func(*connector.Connector)) (*connector.Connector, context.CancelFunc) {
+// start runs a connector that handles streams of the kinds "echo" and "name". It
+// announces its listen address unless configure sets another one.
+func start(t testing.TB, name string, config *tls.Config, configure func(*connector.Connector)) (*connector.Connector, context.CancelFunc) {
 	t.Helper()
 	c := &connector.Connector{
 		Self: connector.Peer{
@@ -37,8 +37,8 @@
 			},
 		},
 	}
-	if change != nil {
-		change(c)
+	if configure != nil {
+		configure(c)
 	}
 	address, err := c.Bind()
 	if err != nil {
@@ -62,25 +62,26 @@
 	return c, stop
 }
 
+// eventually waits until condition holds.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %s: %s", patience, what)
+			t.Fatalf("condition not met within %s: %s", waitTimeout, what)
 		}
 	}
 }
 
 // echo sends a message over a new stream and reads it back.
 func echo(from *connector.Connector, to netip.AddrPort) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	stream, err := from.Open(ctx, to, "echo")
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	_ = stream.SetDeadline(time.Now().Add(patience))
+	_ = stream.SetDeadline(time.Now().Add(waitTimeout))
 	sent := []byte("ping")
 	if _, err := stream.Write(sent); err != nil {
 		return err
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// Guards against a second session where the first can carry both directions.
+// Guards against opening a second session when the first one can carry streams in
+// both directions.
 func TestOpenSharesOneSession(t *testing.T) {
 	is := is.New(t)
 	a, _ := start(t, "a", nil, nil)
--- a/node/connector/cost_test.go
+++ b/node/connector/cost_test.go
@@ -13,8 +13,8 @@
 	"sycamorerun/node/connector"
 )
 
-// BenchmarkSessionMemory reports the memory of both ends of idle sessions with
-// mutual TLS, each of which has one open stream.
+// BenchmarkSessionMemory reports the memory per end of idle sessions with mutual
+// TLS and one open stream each.
 func BenchmarkSessionMemory(b *testing.B) {
 	const sessions = 200
 	config := newAuthority(b).config(time.Hour)
@@ -25,7 +25,7 @@
 		peers = append(peers, peer)
 	}
 	for b.Loop() {
-		before := memory()
+		before := memoryInUse()
 		var streams []net.Conn
 		for _, peer := range peers {
 			stream, err := peer.Open(b.Context(), hub.Self.Address, "echo")
@@ -36,17 +36,17 @@
 			noError(b, err)
 			streams = append(streams, stream)
 		}
-		b.ReportMetric(float64(memory()-before)/(2*sessions), "B/session-end")
+		b.ReportMetric(float64(memoryInUse()-before)/(2*sessions), "B/session-end")
 		for i, stream := range streams {
 			_ = stream.Close()
 			peers[i].Close(hub.Self.Address)
 		}
-		eventually(b, "no session is left", func() bool { return hub.Sessions() == 0 })
+		eventually(b, "all sessions are closed", func() bool { return hub.Sessions() == 0 })
 	}
 }
 
-// memory returns the bytes of heap and stacks in use.
-func memory() uint64 {
+// memoryInUse returns the size of the heap and the stacks in use.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -54,13 +54,13 @@
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// BenchmarkWireBytes reports the bytes on the wire, without TCP and IP, for a
-// message as long as a heartbeat frame.
+// BenchmarkWireBytes reports the bytes on the wire, without TCP and IP headers,
+// for a message of the size of a heartbeat frame.
 func BenchmarkWireBytes(b *testing.B) {
-	const heartbeat = 20
+	const heartbeatBytes = 20
 	config := newAuthority(b).config(time.Hour)
 	scope := tally.NewTestScope("", nil)
-	counter := func() int64 {
+	wireBytesOut := func() int64 {
 		for name, found := range scope.Snapshot().Counters() {
 			if name == "connector.wire_bytes+direction=out,scope=zone" {
 				return found.Value()
@@ -72,7 +72,7 @@
 	peer, _ := start(b, "b", config, nil)
 	stream, err := a.Open(b.Context(), peer.Self.Address, "echo")
 	noError(b, err)
-	n, message := 0, make([]byte, heartbeat)
+	n, message := 0, make([]byte, heartbeatBytes)
 	for b.Loop() {
 		n++
 		_, err := stream.Write(message)
@@ -82,5 +82,5 @@
 	}
 	_ = stream.Close()
 	stop()
-	b.ReportMetric(float64(counter())/float64(n), "wire-B/message")
+	b.ReportMetric(float64(wireBytesOut())/float64(n), "wire-B/message")
 }
--- a/node/connector/decision_test.go
+++ b/node/connector/decision_test.go
@@ -12,9 +12,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Guards against sessions that are closed under streams, stalled ones that
-// stay, and idle ones that close before the peer knows.
-func TestNext(t *testing.T) {
+// Guards against closing a session that has streams, keeping a stalled session,
+// and closing an idle session before the peer has been notified.
+func TestNextAction(t *testing.T) {
 	limits := Limits{}.withDefaults()
 	cases := map[string]struct {
 		condition condition
@@ -23,33 +23,33 @@
 		"busy":                         {condition{streams: 3}, keep},
 		"silent for a second":          {condition{streams: 3, silence: time.Second}, ping},
 		"stalled":                      {condition{streams: 3, silence: 3 * time.Second}, closeStalled},
-		"stalled while closing":        {condition{silence: 3 * time.Second, away: time.Second}, closeStalled},
-		"unused for a short time":      {condition{unused: 10 * time.Second}, keep},
-		"unused":                       {condition{unused: time.Minute}, stopAccepting},
-		"replaced with streams":        {condition{streams: 1, retired: true}, keep},
-		"replaced just now":            {condition{retired: true}, keep},
-		"replaced and unused":          {condition{retired: true, unused: 5 * time.Second}, stopAccepting},
-		"GoAway just sent":             {condition{unused: time.Minute, away: 1}, keep},
-		"GoAway crossed a stream":      {condition{streams: 1, away: time.Minute}, keep},
-		"GoAway sent, still no stream": {condition{unused: time.Minute, away: time.Second}, closeIdle},
+		"stalled while closing":        {condition{silence: 3 * time.Second, sinceGoAway: time.Second}, closeStalled},
+		"unused for a short time":      {condition{idle: 10 * time.Second}, keep},
+		"unused":                       {condition{idle: time.Minute}, stopAccepting},
+		"replaced with streams":        {condition{streams: 1, superseded: true}, keep},
+		"replaced just now":            {condition{superseded: true}, keep},
+		"replaced and unused":          {condition{superseded: true, idle: 5 * time.Second}, stopAccepting},
+		"GoAway just sent":             {condition{idle: time.Minute, sinceGoAway: 1}, keep},
+		"GoAway crossed a stream":      {condition{streams: 1, sinceGoAway: time.Minute}, keep},
+		"GoAway sent, still no stream": {condition{idle: time.Minute, sinceGoAway: time.Second}, closeIdle},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(limits.next(test.condition), test.want)
+			is.New(t).Equal(limits.nextAction(test.condition), test.want)
 		})
 	}
 }
 
-// Guards against ends that prefer different sessions after dialling at once,
-// and against a dead session that is preferred to its replacement.
-func TestPreferOld(t *testing.T) {
+// Guards against the two ends preferring different sessions after simultaneous
+// dials, and against a dead session being preferred to its replacement.
+func TestPreferOlder(t *testing.T) {
 	at := func(name string, dialled bool, seconds float64) *session {
 		return &session{peer: Peer{Name: name}, dialled: dialled, opened: time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))}
 	}
 	cases := map[string]struct {
-		self       string
-		old, fresh *session
-		want       bool
+		self         string
+		older, newer *session
+		want         bool
 	}{
 		"at once, lower name's dial is old":  {"a", at("b", true, 0), at("b", false, 0.1), true},
 		"same, seen by the other end":        {"b", at("a", true, 0), at("a", false, 0.1), false},
@@ -62,26 +62,29 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(preferOld(test.old, test.fresh, test.self, 3*time.Second), test.want)
+			is.New(t).Equal(preferOlder(test.older, test.newer, test.self, 3*time.Second), test.want)
 		})
 	}
 }
 
-// Guards against a session with a waiting call that stays although it is dead,
-// and against one that is closed although the peer is slow or paused, this
-// process was, or what was sent is still on its way.
-func TestFollow(t *testing.T) {
+// Guards against keeping a dead session with a waiting call, and against closing a
+// session although the peer is slow or paused, this process was paused, or sent
+// data is still in transit.
+func TestNextProbe(t *testing.T) {
 	const never = time.Hour
 	limits, start := Limits{}.withDefaults(), time.Unix(1000, 0)
-	// Each case is a silence from start on with a check whenever the last one
-	// asked for it, until the session is closed or 5 s have passed.
+	// In each case the session is silent from start on. Checks run at the requested
+	// times until the session is closed or 5 s have passed.
 	cases := map[string]struct {
-		// heard, elsewhere are the times at which something arrives on the session
-		// and on another one after that was opened.
+		// heard is the time when data arrives on the session, elsewhere the time
+		// between opening a replacement and receiving data on it.
 		heard, elsewhere time.Duration
-		// paused is the time for which this process stops after 400 ms.
+		// paused is the duration of a pause of this process that starts at 400 ms.
+		// acknowledged is the time until which the peer acknowledges sent data, ended
+		// the time when the call ends.
 		paused, acknowledged, ended time.Duration
-		closed                      time.Duration
+		// closed is the expected time of closing, zero if the session stays open.
+		closed time.Duration
 	}{
 		"dead":                             {heard: never, closed: 1300 * time.Millisecond},
 		"dead, new session takes 300 ms":   {heard: never, elsewhere: 300 * time.Millisecond, closed: 1500 * time.Millisecond},
@@ -96,30 +99,30 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var p probe
+			var p probeState
 			var opened time.Duration
 			closed := time.Duration(0)
-			for at := limits.Await; at < 5*time.Second; {
+			for at := limits.CallPing; at < 5*time.Second; {
 				if c.paused > 0 && at > 400*time.Millisecond && at < c.paused {
 					at = 400*time.Millisecond + c.paused
 				}
-				e := evidence{waiting: c.ended == 0 || at < c.ended, silence: at, elsewhere: at, acknowledged: at < c.acknowledged}
+				o := observation{waiting: c.ended == 0 || at < c.ended, silence: at, silenceOnOthers: at, acknowledging: at < c.acknowledged}
 				if at >= c.heard {
-					e.silence = 0 // it answers everything from then on
+					o.silence = 0 // the peer responds from now on
 				}
 				if opened > 0 && at >= opened+c.elsewhere {
-					e.elsewhere = 0
+					o.silenceOnOthers = 0
 				}
-				var next move
+				var next probeAction
 				var wait time.Duration
-				p, next, wait = limits.follow(start.Add(at), p, e)
-				if next == rest || next == closeSilent {
+				p, next, wait = limits.nextProbe(start.Add(at), p, o)
+				if next == stopProbing || next == closeSilent {
 					if next == closeSilent {
 						closed = at
 					}
 					break
 				}
-				if next == openAnother {
+				if next == dialReplacement {
 					opened = at
 				}
 				at += wait
@@ -131,17 +134,17 @@
 
 func TestBackoff(t *testing.T) {
 	is := is.New(t)
-	most := func(n int64) int64 { return n - 1 }
-	is.Equal(backoff(1, most), backoffLeast-1)
-	is.Equal(backoff(2, most), 2*backoffLeast-1)
-	is.Equal(backoff(7, most), 6400*time.Millisecond-1)
-	is.Equal(backoff(8, most), backoffMost-1)
-	is.Equal(backoff(1000, most), backoffMost-1)
+	maxJitter := func(n int64) int64 { return n - 1 }
+	is.Equal(backoff(1, maxJitter), minBackoff-1)
+	is.Equal(backoff(2, maxJitter), 2*minBackoff-1)
+	is.Equal(backoff(7, maxJitter), 6400*time.Millisecond-1)
+	is.Equal(backoff(8, maxJitter), maxBackoff-1)
+	is.Equal(backoff(1000, maxJitter), maxBackoff-1)
 	is.Equal(backoff(3, func(int64) int64 { return 0 }), time.Duration(0))
 }
 
-// Guards against one dial per waiting caller and against dials without delay
-// to a peer that fails.
+// Guards against a separate dial for each waiting caller, and against dials
+// without a delay to an unreachable peer.
 func TestDialsAreShared(t *testing.T) {
 	is := is.New(t)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
@@ -156,13 +159,13 @@
 	second, err := c.startDial(time.Now(), to)
 	is.NoErr(err)
 	is.Equal(first, second)
-	// The accepted connection breaks before the hello.
+	// The accepted connection is closed before the hello.
 	conn, err := silent.Accept()
 	is.NoErr(err)
 	is.NoErr(conn.Close())
 	<-first.done
 	is.True(first.err != nil)
-	c.targets[to].retry = time.Now().Add(time.Hour)
+	c.targets[to].retryAt = time.Now().Add(time.Hour)
 	_, err = c.startDial(time.Now(), to)
 	is.True(errors.Is(err, ErrBackoff))
 	is.NoErr(silent.Close())
@@ -172,8 +175,8 @@
 	is.Equal(c.targets[to].failures, 2)
 }
 
-// Close closes the sessions to the peer at an address, with their streams.
-// The next Open dials.
+// Close closes the sessions to the peer at an address and their streams. The next
+// Open dials.
 func (c *Connector) Close(to netip.AddrPort) {
 	c.mu.Lock()
 	list := append([]*session(nil), c.sessions[c.resolve(to)]...)
@@ -183,7 +186,8 @@
 	}
 }
 
-// Guards against hellos that pass the check but can't be represented.
+// Guards against hellos that pass validation but don't survive a round trip
+// through Peer.
 func FuzzHello(f *testing.F) {
 	valid, _ := proto.Marshal(Peer{
 		Name: "a", Boot: 1, Address: netip.MustParseAddrPort("[::1]:1"), AvailabilityZone: "z", Region: "r",
@@ -200,17 +204,17 @@
 			return
 		}
 		again, err := newPeer(peer.hello())
-		if err != nil || again != peer || len(peer.Name) > nameBytes || !peer.Address.IsValid() {
-			t.Fatalf("%v: %v becomes %v", err, peer, again)
+		if err != nil || again != peer || len(peer.Name) > maxNameBytes || !peer.Address.IsValid() {
+			t.Fatalf("hello round trip: error %v, sent %v, got %v", err, peer, again)
 		}
 	})
 }
 
-// Guards against frames that are cut or reordered when a header waits for its
-// body.
-func TestJoiner(t *testing.T) {
+// Guards against truncated or reordered frames when a header is held back until
+// its body is written.
+func TestFrameCoalescer(t *testing.T) {
 	header := func(kind, length byte) string { return string([]byte{0, kind, 0, 0, 0, 0, 0, 1, 0, 0, 0, length}) }
-	long, full := strings.Repeat("l", joinedBytes+1), strings.Repeat("f", recordBytes-headerBytes)
+	long, full := strings.Repeat("l", maxCoalescedBytes+1), strings.Repeat("f", maxRecordBytes-frameHeaderBytes)
 	cases := map[string]struct{ writes, want []string }{
 		"data":                  {[]string{header(0, 3), "abc"}, []string{header(0, 3) + "abc"}},
 		"data twice":            {[]string{header(0, 1), "a", header(0, 1), "b"}, []string{header(0, 1) + "a", header(0, 1) + "b"}},
@@ -225,43 +229,44 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			sink := &writes{}
-			j := &joiner{Conn: sink}
+			recorder := &writeRecorder{}
+			f := &frameCoalescer{Conn: recorder}
 			for _, data := range test.writes {
-				n, err := j.Write([]byte(data))
+				n, err := f.Write([]byte(data))
 				is.NoErr(err)
 				is.Equal(n, len(data))
 			}
-			is.Equal(sink.data, test.want)
+			is.Equal(recorder.writes, test.want)
 		})
 	}
 }
 
-type writes struct {
+// writeRecorder records the data of each Write.
+type writeRecorder struct {
 	net.Conn
-	data []string
+	writes []string
 }
 
-func (w *writes) Write(p []byte) (int, error) {
-	w.data = append(w.data, string(p))
+func (w *writeRecorder) Write(p []byte) (int, error) {
+	w.writes = append(w.writes, string(p))
 	return len(p), nil
 }
 
-// shrinker is a yamux stream's part that frees its receive buffer.
-type shrinker struct {
+// shrinkCounter stands for a yamux stream and counts the calls of Shrink.
+type shrinkCounter struct {
 	net.Conn
-	shrunk int
+	calls int
 }
 
-func (s *shrinker) Shrink() { s.shrunk++ }
+func (s *shrinkCounter) Shrink() { s.calls++ }
 
-// Guards against streams that wait for their next call with the receive
-// buffer of a large one, because the wrapper hides yamux' Shrink.
+// Guards against idle streams that keep the receive buffer of a large call
+// because the wrapper hides yamux's Shrink method.
 func TestStreamShrinks(t *testing.T) {
 	is := is.New(t)
-	inner := &shrinker{}
+	inner := &shrinkCounter{}
 	outer, ok := net.Conn(&stream{Conn: inner}).(interface{ Shrink() })
 	is.True(ok)
 	outer.Shrink()
-	is.Equal(inner.shrunk, 1)
+	is.Equal(inner.calls, 1)
 }
--- a/node/connector/dial.go
+++ b/node/connector/dial.go
@@ -11,39 +11,41 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of the delay between dials to a peer that fails.
+// Bounds of the delay between dials to an unreachable peer.
 const (
-	backoffLeast = 100 * time.Millisecond
-	backoffMost  = 10 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 10 * time.Second
 )
 
-// ErrBackoff means that the last dial failed and the next one has to wait.
-var ErrBackoff = errors.New("backing off")
+// ErrBackoff means that the last dial failed and the delay before the next dial
+// has not passed.
+var ErrBackoff = errors.New("dial backoff in effect")
 
-// backoff returns a delay with full jitter: uniform between zero and a bound
-// that doubles with each failure.
+// backoff returns an exponential delay with full jitter: it is uniform between
+// zero and a bound that doubles with each failure.
 func backoff(failures int, random func(n int64) int64) time.Duration {
-	bound := backoffMost
+	bound := maxBackoff
 	if failures < 8 {
-		bound = min(bound, backoffLeast<<max(failures-1, 0))
+		bound = min(bound, minBackoff<<max(failures-1, 0))
 	}
 	return time.Duration(random(int64(bound)))
 }
 
-// dial is an attempt that all callers wait for.
+// dial is a dial in progress, which all callers for its address share.
 type dial struct {
 	done chan struct{}
 	err  error
 }
 
-// target remembers the dials to one address.
+// target is the state of the dials to one address.
 type target struct {
 	current  *dial
 	failures int
-	retry    time.Time
+	retryAt  time.Time
 }
 
-// dial joins the dial in progress to an address or starts one.
+// dial waits for the dial in progress to an address, and starts one if there is
+// none.
 func (c *Connector) dial(ctx context.Context, to netip.AddrPort) error {
 	current, err := c.startDial(time.Now(), to)
 	if err != nil {
@@ -71,8 +73,8 @@
 	if t.current != nil {
 		return t.current, nil
 	}
-	if wait := t.retry.Sub(now); wait > 0 {
-		return nil, errors.Wrapf(ErrBackoff, "%s, %d failed dials, next in %s", to, t.failures, wait.Round(time.Millisecond))
+	if wait := t.retryAt.Sub(now); wait > 0 {
+		return nil, errors.Wrapf(ErrBackoff, "%s: %d failed dials, next dial in %s", to, t.failures, wait.Round(time.Millisecond))
 	}
 	t.current = &dial{done: make(chan struct{})}
 	go c.runDial(to, t, t.current)
@@ -80,20 +82,20 @@
 }
 
 func (c *Connector) runDial(to netip.AddrPort, t *target, d *dial) {
-	ctx, cancel := context.WithTimeout(c.streams, c.limits.Dial)
+	ctx, cancel := context.WithTimeout(c.streamCtx, c.limits.Dial)
 	defer cancel()
 	s, err := c.connect(ctx, to)
 	if err == nil {
 		err = c.register(s, to)
 	}
 	if err == nil {
-		go c.accept(s)
+		go c.acceptStreams(s)
 	}
 	c.mu.Lock()
 	t.current = nil
 	if err != nil {
 		t.failures++
-		t.retry = time.Now().Add(backoff(t.failures, rand.Int64N))
+		t.retryAt = time.Now().Add(backoff(t.failures, rand.Int64N))
 	} else {
 		delete(c.targets, to)
 	}
@@ -109,9 +111,9 @@
 	close(d.done)
 }
 
-// source is the address that dials leave from: the one listened on, so that on
-// an instance with several addresses a peer sees the one in the settings.
-func (c *Connector) source() net.Addr {
+// localAddr returns the source address of dials, which is the listen address: on
+// an instance with several addresses, peers see the address from the settings.
+func (c *Connector) localAddr() net.Addr {
 	if !c.Listen.IsValid() || c.Listen.Addr().IsUnspecified() {
 		return nil
 	}
@@ -119,7 +121,7 @@
 }
 
 func (c *Connector) connect(ctx context.Context, to netip.AddrPort) (*session, error) {
-	dialer := net.Dialer{KeepAlive: -1, LocalAddr: c.source()}
+	dialer := net.Dialer{KeepAlive: -1, LocalAddr: c.localAddr()}
 	conn, err := dialer.DialContext(ctx, "tcp", to.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "dial")
--- a/node/connector/failure_test.go
+++ b/node/connector/failure_test.go
@@ -20,17 +20,17 @@
 	"sycamorerun/node/connector"
 )
 
-// quick shortens the times that the tests wait for.
-func quick(c *connector.Connector) {
+// shortLimits shortens the timeouts that the tests wait for.
+func shortLimits(c *connector.Connector) {
 	c.Limits = connector.Limits{Ping: 100 * time.Millisecond, Stall: time.Second, Linger: 200 * time.Millisecond}
 }
 
-// Guards against two sessions that stay, or none that survives, when both ends
-// dial at once.
+// Guards against keeping two sessions, or losing both, when both ends dial at the
+// same time.
 func TestBothEndsDialAtOnce(t *testing.T) {
 	t.Parallel()
-	a, _ := start(t, "a", nil, quick)
-	b, _ := start(t, "b", nil, quick)
+	a, _ := start(t, "a", nil, shortLimits)
+	b, _ := start(t, "b", nil, shortLimits)
 	for range 5 {
 		var wait sync.WaitGroup
 		for range 4 {
@@ -38,9 +38,9 @@
 			wait.Go(func() { noError(t, echo(b, a.Self.Address)) })
 		}
 		wait.Wait()
-		eventually(t, "one session is left", func() bool { return a.Sessions() == 1 && b.Sessions() == 1 })
+		eventually(t, "one session remains at each end", func() bool { return a.Sessions() == 1 && b.Sessions() == 1 })
 		a.Close(b.Self.Address)
-		eventually(t, "the other end notices", func() bool { return b.Sessions() == 0 })
+		eventually(t, "the other end closes its session", func() bool { return b.Sessions() == 0 })
 	}
 }
 
@@ -51,13 +51,14 @@
 	}
 }
 
-// proxy forwards TCP connections and can freeze those that are open, as a
-// middlebox does that lost its state.
+// proxy forwards TCP connections. It can freeze the open ones, like a middlebox
+// that lost its state.
 type proxy struct {
 	address netip.AddrPort
-	// conns numbers the connections; those up to frozen drop everything.
+	// conns counts the connections. Data of connections numbered up to frozen is
+	// dropped.
 	conns, frozen atomic.Int64
-	// paused is held while all connections stand still.
+	// paused is write-locked while no connection forwards data.
 	paused sync.RWMutex
 	to     atomic.Pointer[netip.AddrPort]
 }
@@ -105,22 +106,23 @@
 	}
 }
 
-// pause holds up everything for a time, as a process does that is stopped.
+// pause delays all data for d, as if the peer's process were stopped.
 func (p *proxy) pause(d time.Duration) {
 	p.paused.Lock()
 	time.AfterFunc(d, p.paused.Unlock)
 }
 
+// freeze makes the open connections drop all data from now on.
 func (p *proxy) freeze() { p.frozen.Store(p.conns.Load()) }
 
-// Guards against new work that waits for a session which went silent.
+// Guards against new streams waiting on a session that went silent.
 func TestFrozenSessionIsReplaced(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	b, _ := start(t, "b", nil, quick)
+	b, _ := start(t, "b", nil, shortLimits)
 	p := newProxy(t)
 	p.to.Store(&b.Listen)
-	a, _ := start(t, "a", nil, quick)
+	a, _ := start(t, "a", nil, shortLimits)
 	is.NoErr(echo(a, p.address))
 	p.freeze()
 	eventually(t, "both ends close the frozen session", func() bool { return a.Sessions() == 0 && b.Sessions() == 0 })
@@ -128,18 +130,18 @@
 	is.True(p.conns.Load() > p.frozen.Load())
 }
 
-// Guards against a call that waits for seconds on a session that went silent
-// while new ones work, and against a peer that is cut off while it is paused. It
-// runs with the times of production, but for those after which a session is
-// closed without a waiting call; TestFollow holds the times.
+// Guards against a call waiting for seconds on a session that went silent while
+// new sessions work, and against disconnecting a paused peer. It runs with the
+// production timeouts, except those that close a session without a waiting call;
+// TestNextProbe checks the exact times.
 func TestCallOnSilentSession(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		silence func(p *proxy)
-		kept    bool
+		interrupt func(p *proxy)
+		succeeds  bool
 	}{
-		"drops everything": {silence: func(p *proxy) { p.freeze() }},
-		"paused for 2 s":   {silence: func(p *proxy) { p.pause(2 * time.Second) }, kept: true},
+		"drops everything": {interrupt: func(p *proxy) { p.freeze() }},
+		"paused for 2 s":   {interrupt: func(p *proxy) { p.pause(2 * time.Second) }, succeeds: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -154,40 +156,40 @@
 			stream, err := a.Open(t.Context(), p.address, "echo")
 			is.NoErr(err)
 			defer stream.Close()
-			is.NoErr(ask(stream))
+			is.NoErr(echoOver(stream))
 			stream.(interface{ SetAwaiting(bool) }).SetAwaiting(true)
-			c.silence(p)
-			began := time.Now()
-			err = ask(stream)
-			took := time.Since(began)
-			t.Logf("%s: %v", took, err)
-			is.Equal(err == nil, c.kept)
-			is.True(took < patience) // else the stream's deadline ended it
+			c.interrupt(p)
+			started := time.Now()
+			err = echoOver(stream)
+			elapsed := time.Since(started)
+			t.Logf("call ended after %s: %v", elapsed, err)
+			is.Equal(err == nil, c.succeeds)
+			is.True(elapsed < waitTimeout) // otherwise the deadline of the stream ended the call
 			is.NoErr(echo(a, p.address))
 		})
 	}
 }
 
-// Guards against a write that looks as if the peer may have got something,
-// although its session had ended.
-func TestWriteAfterTheEnd(t *testing.T) {
+// Guards against a write on a closed session failing with an error that leaves open
+// whether the peer received data.
+func TestWriteToClosedSession(t *testing.T) {
 	is := is.New(t)
 	b, stop := start(t, "b", nil, func(c *connector.Connector) { c.Limits.Drain = time.Millisecond })
 	a, _ := start(t, "a", nil, nil)
 	stream, err := a.Open(t.Context(), b.Self.Address, "echo")
 	is.NoErr(err)
 	defer stream.Close()
-	is.NoErr(ask(stream))
+	is.NoErr(echoOver(stream))
 	stop()
-	eventually(t, "the session ends", func() bool { return a.Sessions() == 0 })
+	eventually(t, "the session is closed", func() bool { return a.Sessions() == 0 })
 	n, err := stream.Write([]byte("ping"))
 	is.Equal(n, 0)
 	is.True(errors.Is(err, net.ErrClosed))
 }
 
-// ask sends a message over a stream and reads it back.
-func ask(stream net.Conn) error {
-	_ = stream.SetDeadline(time.Now().Add(patience))
+// echoOver sends a message over a stream and reads it back.
+func echoOver(stream net.Conn) error {
+	_ = stream.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := stream.Write([]byte("ping")); err != nil {
 		return err
 	}
@@ -195,8 +197,8 @@
 	return err
 }
 
-// Guards against input that ends the connector, holds a session or reaches a
-// handler.
+// Guards against invalid input that stops the connector, keeps a session open or
+// reaches a handler.
 func TestGarbage(t *testing.T) {
 	t.Parallel()
 	cluster := newAuthority(t)
@@ -221,41 +223,41 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c, _ := start(t, "a", config, func(c *connector.Connector) {
-				quick(c)
+				shortLimits(c)
 				c.Limits.Dial = 2 * time.Second
 			})
 			conn, err := net.Dial("tcp", c.Self.Address.String())
 			is.NoErr(err)
 			defer conn.Close()
 			if test.secure {
-				// The test only sends, so the server isn't verified.
-				mine := config.Clone()
-				mine.InsecureSkipVerify = true
-				conn = tls.Client(conn, mine)
+				// The test only sends data, so it does not verify the server.
+				clientConfig := config.Clone()
+				clientConfig.InsecureSkipVerify = true
+				conn = tls.Client(conn, clientConfig)
 			}
 			// The connector may reject the input before all of it is written.
 			_, _ = io.WriteString(conn, test.sent)
-			_ = conn.SetReadDeadline(time.Now().Add(patience))
+			_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 			_, err = io.Copy(io.Discard, conn)
 			timeout, ok := err.(net.Error)
 			is.True(!ok || !timeout.Timeout())
-			eventually(t, "no session is left", func() bool { return c.Sessions() == 0 })
-			b, _ := start(t, "b", config, quick)
+			eventually(t, "the session is closed", func() bool { return c.Sessions() == 0 })
+			b, _ := start(t, "b", config, shortLimits)
 			is.NoErr(echo(b, c.Self.Address))
 		})
 	}
 }
 
-// Guards against streams with a bad head that reach a handler or end the
-// session for the others.
+// Guards against streams with an invalid head that reach a handler or close the
+// session of other streams.
 func TestBadStreamHeads(t *testing.T) {
 	is := is.New(t)
-	a, _ := start(t, "a", nil, quick)
-	b, _ := start(t, "b", nil, quick)
+	a, _ := start(t, "a", nil, shortLimits)
+	b, _ := start(t, "b", nil, shortLimits)
 	for _, kind := range []string{"unknown", strings.Repeat("k", 100), ""} {
 		stream, err := a.Open(t.Context(), b.Self.Address, kind)
 		is.NoErr(err)
-		_ = stream.SetReadDeadline(time.Now().Add(patience))
+		_ = stream.SetReadDeadline(time.Now().Add(waitTimeout))
 		_, err = stream.Read(make([]byte, 1))
 		is.Equal(err, io.EOF)
 		is.NoErr(stream.Close())
@@ -264,15 +266,15 @@
 	is.Equal(b.Sessions(), 1)
 }
 
-// Guards against peers that take more sessions or streams than allowed.
+// Guards against peers exceeding the limits for sessions and streams.
 func TestLimits(t *testing.T) {
 	is := is.New(t)
 	a, _ := start(t, "a", nil, func(c *connector.Connector) {
-		quick(c)
+		shortLimits(c)
 		c.Limits.Sessions, c.Limits.Streams = 1, 1
 	})
-	b, _ := start(t, "b", nil, quick)
-	c, _ := start(t, "c", nil, quick)
+	b, _ := start(t, "b", nil, shortLimits)
+	c, _ := start(t, "c", nil, shortLimits)
 	held, err := b.Open(t.Context(), a.Self.Address, "echo")
 	is.NoErr(err)
 	_, err = held.Write([]byte("x"))
@@ -282,17 +284,18 @@
 	is.True(echo(c, a.Self.Address) != nil) // second session
 	is.True(echo(b, a.Self.Address) != nil) // second stream
 	is.NoErr(held.Close())
-	eventually(t, "the stream's slot is free again", func() bool { return echo(b, a.Self.Address) == nil })
+	eventually(t, "the slot of the closed stream is free again", func() bool { return echo(b, a.Self.Address) == nil })
 }
 
-// Guards against a restarted node that peers refuse, whatever its boot id, and
-// against an older run, paused and resumed, that keeps the current one out.
+// Guards against peers rejecting a restarted node, whether its boot ID is higher or
+// lower, and against an older run that was paused and resumed locking out the
+// current run.
 func TestRuns(t *testing.T) {
 	is := is.New(t)
-	a, _ := start(t, "a", nil, quick)
+	a, _ := start(t, "a", nil, shortLimits)
 	run := func(boot int64, address netip.AddrPort) (*connector.Connector, context.CancelFunc) {
 		return start(t, "b", nil, func(c *connector.Connector) {
-			quick(c)
+			shortLimits(c)
 			c.Self.Boot = boot
 			c.Handlers["boot"] = func(_ context.Context, _ connector.Peer, stream net.Conn) {
 				_, _ = stream.Write([]byte{byte(boot)})
@@ -302,7 +305,7 @@
 			}
 		})
 	}
-	serving := func(address netip.AddrPort) int64 {
+	servingBoot := func(address netip.AddrPort) int64 {
 		stream, err := a.Open(t.Context(), address, "boot")
 		is.NoErr(err)
 		defer stream.Close()
@@ -317,20 +320,20 @@
 		next, _ := run(boot, first.Self.Address)
 		is.NoErr(echo(next, a.Self.Address))
 		eventually(t, "the session of the earlier run is closed", func() bool { return a.Sessions() == 1 })
-		is.Equal(serving(first.Self.Address), boot)
+		is.Equal(servingBoot(first.Self.Address), boot)
 	}
-	is.NoErr(echo(first, a.Self.Address)) // resumes
-	eventually(t, "one run has a session", func() bool { return a.Sessions() == 1 })
+	is.NoErr(echo(first, a.Self.Address)) // the first run resumes
+	eventually(t, "only one run has a session", func() bool { return a.Sessions() == 1 })
 	current, _ := run(4, first.Self.Address)
 	is.NoErr(echo(current, a.Self.Address))
 	eventually(t, "the session of the earlier run is closed", func() bool { return a.Sessions() == 1 })
-	is.Equal(serving(first.Self.Address), int64(4))
-	self, _ := start(t, "a", nil, quick)
+	is.Equal(servingBoot(first.Self.Address), int64(4))
+	self, _ := start(t, "a", nil, shortLimits)
 	is.True(echo(self, a.Self.Address) != nil)
 }
 
-// Guards against a shutdown that breaks a stream in flight or accepts new
-// ones.
+// Guards against a shutdown that interrupts a stream in flight or accepts new
+// streams.
 func TestShutdownFinishesStreams(t *testing.T) {
 	is := is.New(t)
 	a, _ := start(t, "a", nil, nil)
@@ -338,30 +341,30 @@
 	stream, err := a.Open(t.Context(), b.Self.Address, "echo")
 	is.NoErr(err)
 	read := make([]byte, 1)
-	round := func() {
+	roundTrip := func() {
 		_, err := stream.Write([]byte("x"))
 		is.NoErr(err)
 		_, err = io.ReadFull(stream, read)
 		is.NoErr(err)
 	}
-	round()
+	roundTrip()
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		stop()
 	}()
-	eventually(t, "new streams are refused", func() bool { return echo(a, b.Self.Address) != nil })
-	round()
+	eventually(t, "new streams are rejected", func() bool { return echo(a, b.Self.Address) != nil })
+	roundTrip()
 	is.NoErr(stream.Close())
 	select {
 	case <-stopped:
-	case <-time.After(patience):
-		t.Fatal("the connector waits although no stream is open")
+	case <-time.After(waitTimeout):
+		t.Fatal("the connector did not stop although no stream is open")
 	}
 }
 
-// Guards against bytes that are counted for the wrong scope or kind, and
-// against headers that are left out, counted twice or lost with the connection.
+// Guards against counting bytes for the wrong scope or kind, and against headers
+// that are not counted, counted twice or lost when the connection closes.
 func TestCounters(t *testing.T) {
 	is := is.New(t)
 	scope := tally.NewTestScope("", nil)
@@ -374,13 +377,13 @@
 	is.Equal(counters["connector.stream_bytes+direction=in,kind=echo,scope=region"].Value(), int64(4))
 	is.True(counters["connector.wire_bytes+direction=out,scope=region"].Value() > 4)
 	is.Equal(counters["connector.wire_bytes+direction=out,scope=zone"], nil)
-	const headers = 20 + 20 + 12 // IPv4, TCP and the timestamps that Linux agrees on.
+	const headerBytes = 20 + 20 + 12 // IPv4, TCP and the timestamp option that Linux negotiates.
 	for _, direction := range []string{"in", "out"} {
 		count := func(name string) int64 {
 			return counters["connector."+name+"+direction="+direction+",scope=region"].Value()
 		}
-		// The handshake of TCP, the hello, the head and the message, at least.
+		// At least the TCP handshake, the hello, the stream head and the message.
 		is.True(count("segments") >= 4)
-		is.Equal(count("network_bytes"), count("wire_bytes")+headers*count("segments"))
+		is.Equal(count("network_bytes"), count("wire_bytes")+headerBytes*count("segments"))
 	}
 }
--- a/node/connector/metrics.go
+++ b/node/connector/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics caches the counters, since looking them up in a tally scope takes
-// locks and builds tag maps.
+// metrics caches the counters, since a look-up in a tally scope takes locks and
+// builds tag maps.
 type metrics struct {
 	scope    tally.Scope
 	sessions tally.Gauge
@@ -32,12 +32,12 @@
 	return counter
 }
 
-// rejected counts what a limit or a check turned down.
+// rejected counts connections and streams that a limit or a check rejected.
 func (m *metrics) rejected(reason string) {
 	m.counter([4]string{"rejected", reason}, map[string]string{"reason": reason}).Inc(1)
 }
 
-// closed counts sessions by the reason for their end.
+// closed counts closed sessions by reason.
 func (m *metrics) closed(reason string) {
 	m.counter([4]string{"closed", reason}, map[string]string{"reason": reason}).Inc(1)
 }
@@ -46,8 +46,8 @@
 	m.counter([4]string{"dials", result}, map[string]string{"result": result}).Inc(1)
 }
 
-// bytes returns the counter of a name for a scope and a direction.
-func (m *metrics) bytes(name string, scope Scope, direction string) tally.Counter {
+// directionCounter returns the named counter for a scope and a direction.
+func (m *metrics) directionCounter(name string, scope Scope, direction string) tally.Counter {
 	return m.counter([4]string{name, string(scope), direction},
 		map[string]string{"scope": string(scope), "direction": direction})
 }
@@ -57,18 +57,18 @@
 		map[string]string{"scope": string(scope), "direction": direction, "kind": kind})
 }
 
-// flush adds what was counted since the last flush to the counters. Network
-// bytes are wire bytes with the headers of TCP and IP.
+// flush adds the counts of a session since the last flush to the counters.
+// Network bytes are wire bytes plus TCP and IP headers.
 func (m *metrics) flush(s *session) {
-	w := s.wire
-	w.sample()
+	conn := s.conn
+	conn.sample()
 	for direction, counts := range map[string][3]*atomic.Int64{
-		"in":  {&w.in, &w.headersIn, &w.segmentsIn},
-		"out": {&w.out, &w.headersOut, &w.segmentsOut},
+		"in":  {&conn.bytesIn, &conn.headersIn, &conn.segmentsIn},
+		"out": {&conn.bytesOut, &conn.headersOut, &conn.segmentsOut},
 	} {
-		sent := counts[0].Swap(0)
-		m.bytes("wire_bytes", s.scope, direction).Inc(sent)
-		m.bytes("network_bytes", s.scope, direction).Inc(sent + counts[1].Swap(0))
-		m.bytes("segments", s.scope, direction).Inc(counts[2].Swap(0))
+		wireBytes := counts[0].Swap(0)
+		m.directionCounter("wire_bytes", s.scope, direction).Inc(wireBytes)
+		m.directionCounter("network_bytes", s.scope, direction).Inc(wireBytes + counts[1].Swap(0))
+		m.directionCounter("segments", s.scope, direction).Inc(counts[2].Swap(0))
 	}
 }
--- a/node/connector/peer.go
+++ b/node/connector/peer.go
@@ -6,26 +6,27 @@
 	"github.com/pkg/errors"
 )
 
-// protocol is the version of the hello exchange and of the stream heads.
-const protocol = 1
+// protocolVersion covers the hello exchange and the stream heads.
+const protocolVersion = 1
 
-// nameBytes bounds the names in a hello.
-const nameBytes = 253
+// maxNameBytes is the maximum length of each name in a hello.
+const maxNameBytes = 253
 
-// Peer identifies one run of a node.
+// Peer identifies one run of a node process.
 type Peer struct {
 	Name string
-	// Boot is the random id of the run.
+	// Boot is a random ID that a node process chooses at start.
 	Boot             int64
 	Address          netip.AddrPort
 	AvailabilityZone string
 	Region           string
 }
 
-// Scope says how far apart two nodes are.
+// Scope is the network distance between two nodes: within a zone, between zones
+// of a region, or between regions.
 type Scope string
 
-// Scopes of traffic.
+// The scopes of traffic.
 const (
 	ScopeZone   Scope = "zone"
 	ScopeRegion Scope = "region"
@@ -49,7 +50,7 @@
 
 func (p Peer) hello() *Hello {
 	return &Hello{
-		Protocol:         protocol,
+		Protocol:         protocolVersion,
 		Name:             p.Name,
 		Boot:             p.Boot,
 		Address:          p.Address.String(),
@@ -58,24 +59,24 @@
 	}
 }
 
-// newPeer checks a received hello.
+// newPeer validates a received hello and returns its peer.
 func newPeer(hello *Hello) (Peer, error) {
-	if hello.GetProtocol() != protocol {
-		return Peer{}, errors.Errorf("hello with protocol %d, want %d", hello.GetProtocol(), protocol)
+	if hello.GetProtocol() != protocolVersion {
+		return Peer{}, errors.Errorf("hello has protocol version %d, want %d", hello.GetProtocol(), protocolVersion)
 	}
 	for field, value := range map[string]string{
 		"name": hello.GetName(), "availability zone": hello.GetAvailabilityZone(), "region": hello.GetRegion(),
 	} {
-		if value == "" || len(value) > nameBytes {
-			return Peer{}, errors.Errorf("hello with %s of %d bytes, want 1 to %d", field, len(value), nameBytes)
+		if value == "" || len(value) > maxNameBytes {
+			return Peer{}, errors.Errorf("%s in hello has %d bytes, want 1 to %d", field, len(value), maxNameBytes)
 		}
 	}
 	address, err := netip.ParseAddrPort(hello.GetAddress())
 	if err != nil {
-		return Peer{}, errors.Wrap(err, "hello address")
+		return Peer{}, errors.Wrap(err, "parse address in hello")
 	}
 	if hello.GetBoot() <= 0 {
-		return Peer{}, errors.New("hello without boot id")
+		return Peer{}, errors.New("hello has no boot ID")
 	}
 	return Peer{
 		Name:             hello.GetName(),
--- a/node/connector/probe.go
+++ b/node/connector/probe.go
@@ -9,94 +9,95 @@
 )
 
 const (
-	// probeSteps are the checks without a byte after a ping until the session is
-	// doubted. Checks are counted and not the time between two of them: a process
-	// that was paused has to read what arrived before it judges.
-	probeSteps = 7
-	// provenSteps are the further checks without a byte after the peer was heard
-	// on another session. An answer on this one was sent before and is read within
-	// them.
-	provenSteps = 2
+	// suspectChecks is the number of checks without received data after a ping
+	// until the session is suspected. Checks are counted instead of elapsed time,
+	// so that a process resumed after a pause reads pending data first.
+	suspectChecks = 7
+	// confirmChecks is the number of further checks without received data after
+	// the peer was heard on another session. A response that the peer sent earlier
+	// on this session is read within them.
+	confirmChecks = 2
 )
 
-// probe follows a session on which a call waits.
-type probe struct {
-	pinged time.Time
-	// doubted is the time since which a new session is tried.
-	doubted time.Time
-	// steps counts the checks since the ping, proven those since the peer was
-	// heard on another session.
-	steps, proven int
+// probeState is the state of probing a session with waiting calls.
+type probeState struct {
+	pingedAt time.Time
+	// suspectedAt is the time when the replacement was dialled.
+	suspectedAt time.Time
+	// silentChecks counts the checks without received data since the ping,
+	// confirmations those since the peer was heard on another session.
+	silentChecks, confirmations int
 }
 
-// evidence is what is known of a session at a check.
-type evidence struct {
-	// waiting says that a call waits.
+// observation is what a check finds out about a session.
+type observation struct {
+	// waiting is set if a call on the session waits for the peer.
 	waiting bool
 	silence time.Duration
-	// acknowledged says that the peer's system still takes what was sent, so that
-	// a ping may be on its way behind it.
-	acknowledged bool
-	// elsewhere is the time since which the peer is silent on all other sessions.
-	elsewhere time.Duration
+	// acknowledging is set if the peer's TCP stack still acknowledges sent data, so
+	// that the ping may be queued behind it.
+	acknowledging bool
+	// silenceOnOthers is the time since data last arrived on any other session to
+	// the peer.
+	silenceOnOthers time.Duration
 }
 
-// move is what a check leads to.
-type move int
+// probeAction is the result of a check.
+type probeAction int
 
 const (
-	rest move = iota
-	check
-	pingNow
-	openAnother
+	stopProbing probeAction = iota
+	checkLater
+	sendPing
+	dialReplacement
 	closeSilent
 )
 
-// follow decides about a session at a check and returns the time until the next
-// one. A session is closed only if the peer is heard on a newer one: a peer that
-// is paused answers on neither.
-func (l Limits) follow(now time.Time, p probe, e evidence) (probe, move, time.Duration) {
-	step := l.Answer / probeSteps
-	if !e.waiting {
-		return probe{}, rest, 0
+// nextProbe returns the new state, the action and the time until the next check.
+// It closes a session only if the peer is heard on another one, since a paused
+// peer responds on neither.
+func (l Limits) nextProbe(now time.Time, p probeState, o observation) (probeState, probeAction, time.Duration) {
+	interval := l.PongTimeout / suspectChecks
+	if !o.waiting {
+		return probeState{}, stopProbing, 0
 	}
-	if p.pinged.IsZero() || e.silence < now.Sub(p.pinged) {
-		if left := l.Await - e.silence; left > 0 {
-			return probe{}, check, left
+	if p.pingedAt.IsZero() || o.silence < now.Sub(p.pingedAt) {
+		if wait := l.CallPing - o.silence; wait > 0 {
+			return probeState{}, checkLater, wait
 		}
-		return probe{pinged: now}, pingNow, step
+		return probeState{pingedAt: now}, sendPing, interval
 	}
-	if e.acknowledged {
-		return p, check, step
+	if o.acknowledging {
+		return p, checkLater, interval
 	}
-	if p.steps++; p.steps < probeSteps {
-		return p, check, step
+	if p.silentChecks++; p.silentChecks < suspectChecks {
+		return p, checkLater, interval
 	}
-	if p.doubted.IsZero() {
-		p.doubted = now
-		return p, openAnother, step
+	if p.suspectedAt.IsZero() {
+		p.suspectedAt = now
+		return p, dialReplacement, interval
 	}
-	if e.elsewhere >= now.Sub(p.doubted) {
-		return p, check, step
+	if o.silenceOnOthers >= now.Sub(p.suspectedAt) {
+		return p, checkLater, interval
 	}
-	if p.proven++; p.proven <= provenSteps {
-		return p, check, step
+	if p.confirmations++; p.confirmations <= confirmChecks {
+		return p, checkLater, interval
 	}
 	return p, closeSilent, 0
 }
 
-// prober checks a session while calls wait on it. A session without waiting
-// calls costs nothing.
+// prober checks a session while calls wait on it. It schedules no timer for a
+// session without waiting calls.
 type prober struct {
-	waiting atomic.Int64
-	mutex   sync.Mutex
-	armed   bool
-	probe   probe
+	waiting   atomic.Int64
+	mutex     sync.Mutex
+	scheduled bool
+	state     probeState
 }
 
-// await counts a call that waits, or one that no longer does.
-func (c *Connector) await(s *session, waits bool) {
-	if !waits {
+// setAwaiting adds or removes a waiting call. The first one starts the checks.
+func (c *Connector) setAwaiting(s *session, waiting bool) {
+	if !waiting {
 		s.prober.waiting.Add(-1)
 		return
 	}
@@ -105,57 +106,57 @@
 	}
 	s.prober.mutex.Lock()
 	defer s.prober.mutex.Unlock()
-	if !s.prober.armed {
-		s.prober.armed = true
-		time.AfterFunc(c.limits.Await, func() { c.check(s) })
+	if !s.prober.scheduled {
+		s.prober.scheduled = true
+		time.AfterFunc(c.limits.CallPing, func() { c.probeSession(s) })
 	}
 }
 
-// check takes the next step for a session on which a call waits.
-func (c *Connector) check(s *session) {
+// probeSession checks a session with waiting calls and schedules the next check.
+func (c *Connector) probeSession(s *session) {
 	now := time.Now()
-	found := evidence{silence: s.wire.silence(now), elsewhere: c.silenceElsewhere(now, s)}
+	observed := observation{silence: s.conn.silence(now), silenceOnOthers: c.silenceOnOthers(now, s)}
 	s.prober.mutex.Lock()
 	defer s.prober.mutex.Unlock()
-	found.waiting = s.prober.waiting.Load() > 0 && s.ctx.Err() == nil
-	found.acknowledged = s.wire.segments.acknowledges(c.limits.Await)
-	var next move
+	observed.waiting = s.prober.waiting.Load() > 0 && s.ctx.Err() == nil
+	observed.acknowledging = s.conn.segments.acknowledging(c.limits.CallPing)
+	var next probeAction
 	var wait time.Duration
-	s.prober.probe, next, wait = c.limits.follow(now, s.prober.probe, found)
+	s.prober.state, next, wait = c.limits.nextProbe(now, s.prober.state, observed)
 	switch next {
-	case rest:
-		s.prober.armed = false
+	case stopProbing:
+		s.prober.scheduled = false
 		return
-	case pingNow:
+	case sendPing:
 		c.ping(s)
-	case openAnother:
-		go c.openAnother(s.peer.Address)
+	case dialReplacement:
+		go c.dialReplacement(s.peer.Address)
 	case closeSilent:
 		go c.closeSession(s, "silent")
 		return
-	case check:
+	case checkLater:
 	}
-	time.AfterFunc(wait, func() { c.check(s) })
+	time.AfterFunc(wait, func() { c.probeSession(s) })
 }
 
-// silenceElsewhere returns the time since which nothing arrived on the other
-// sessions to the same run of the peer.
-func (c *Connector) silenceElsewhere(now time.Time, s *session) time.Duration {
+// silenceOnOthers returns the time since data last arrived on any other session
+// to the same run of the peer, at most the age of s.
+func (c *Connector) silenceOnOthers(now time.Time, s *session) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	least := now.Sub(s.opened)
+	silence := now.Sub(s.opened)
 	for _, other := range c.sessions[s.peer.Address] {
 		if other != s && other.peer.sameRun(s.peer) {
-			least = min(least, other.wire.silence(now))
+			silence = min(silence, other.conn.silence(now))
 		}
 	}
-	return least
+	return silence
 }
 
-// openAnother opens a session beside one that is silent.
-func (c *Connector) openAnother(to netip.AddrPort) {
-	ctx, cancel := context.WithTimeout(c.streams, c.limits.Dial)
+// dialReplacement opens a second session to a peer whose session is silent.
+func (c *Connector) dialReplacement(to netip.AddrPort) {
+	ctx, cancel := context.WithTimeout(c.streamCtx, c.limits.Dial)
 	defer cancel()
-	// A peer that can't be reached keeps its session until the sweep closes it.
+	// If the dial fails, the silent session stays open until the sweep closes it.
 	_ = c.dial(ctx, to)
 }
--- a/node/connector/registry.go
+++ b/node/connector/registry.go
@@ -8,23 +8,25 @@
 	"github.com/go-kit/log/level"
 )
 
-// preferOld decides between two live sessions to the same run of a peer. When
-// both ends dialled at about the same time, both have to choose the same one:
-// the one that the lower name dialled. Later, a second dial means that the
-// other end has found the first session dead, and the newer one counts. A
-// session can't be found dead within least, so that time separates the two
-// cases. Ends that disagree only keep a second session for longer.
-func preferOld(old, fresh *session, self string, least time.Duration) bool {
-	if old.dialled == fresh.dialled || fresh.opened.Sub(old.opened) >= least {
+// preferOlder reports which of two live sessions to the same run of a peer takes
+// new streams. If both ends dialled at about the same time, both have to choose
+// the same session: the one dialled by the node with the lower name. A later dial
+// by the other end means that it found the older session dead, so the newer
+// session is preferred. A session can't be found dead within window, which
+// therefore separates the two cases. If the ends disagree, a second session only
+// stays open for longer.
+func preferOlder(older, newer *session, self string, window time.Duration) bool {
+	if older.dialled == newer.dialled || newer.opened.Sub(older.opened) >= window {
 		return false
 	}
-	return old.diallerName(self) < fresh.diallerName(self)
+	return older.diallerName(self) < newer.diallerName(self)
 }
 
-// register makes an established session available for streams; the caller runs
-// accept afterwards. The address that was dialled may differ from the one that the peer announces.
-func (c *Connector) register(s *session, dialled netip.AddrPort) error {
-	stale, err := c.add(s, dialled)
+// register makes an established session available for streams. The caller runs
+// acceptStreams afterwards. The dialled address may differ from the address that
+// the peer announces; it is invalid for an inbound session.
+func (c *Connector) register(s *session, dialledAddress netip.AddrPort) error {
+	stale, err := c.add(s, dialledAddress)
 	for _, old := range stale {
 		c.closeSession(old, "replaced")
 	}
@@ -37,42 +39,43 @@
 	return nil
 }
 
-// add returns the sessions to other runs at the address, to be closed.
-func (c *Connector) add(s *session, dialled netip.AddrPort) (stale []*session, err error) {
+// add adds a session and returns the sessions to other runs of the peer at its
+// address, which the caller closes.
+func (c *Connector) add(s *session, dialledAddress netip.AddrPort) (stale []*session, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != running {
 		return nil, ErrClosed
 	}
 	address := s.peer.Address
-	// Two runs can't listen at one address, so that the run that has just made a
-	// session is the present one.
+	// Two processes can't listen on the same address, so the run with the newest
+	// session is the current run.
 	for _, old := range c.sessions[address] {
 		if !old.peer.sameRun(s.peer) {
 			stale = append(stale, old)
 		}
 	}
 	list := slices.DeleteFunc(c.sessions[address], func(old *session) bool { return slices.Contains(stale, old) })
-	if last := len(list) - 1; last >= 0 && preferOld(list[last], s, c.Self.Name, c.limits.Await+c.limits.Answer) {
-		s.retired = true
+	if last := len(list) - 1; last >= 0 && preferOlder(list[last], s, c.Self.Name, c.limits.CallPing+c.limits.PongTimeout) {
+		s.superseded = true
 		list = slices.Insert(list, last, s)
 	} else {
 		for _, old := range list {
-			old.retired = true
+			old.superseded = true
 		}
 		list = append(list, s)
 	}
 	c.sessions[address] = list
 	if t := c.targets[address]; t != nil {
-		t.failures, t.retry = 0, time.Time{}
+		t.failures, t.retryAt = 0, time.Time{}
 	}
-	if dialled.IsValid() && dialled != address {
-		c.aliases[dialled] = address
+	if dialledAddress.IsValid() && dialledAddress != address {
+		c.aliases[dialledAddress] = address
 	}
 	return stale, nil
 }
 
-// resolve returns the address that the peer at to announces.
+// resolve returns the announced address of the peer at a dialled address.
 func (c *Connector) resolve(to netip.AddrPort) netip.AddrPort {
 	if address, ok := c.aliases[to]; ok {
 		return address
@@ -80,22 +83,22 @@
 	return to
 }
 
-// candidates returns the sessions that may take a new stream, the preferred
-// one first.
+// candidates returns the sessions that can take a new stream, in order of
+// preference.
 func (c *Connector) candidates(now time.Time, to netip.AddrPort) []*session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []*session
 	for _, s := range slices.Backward(c.sessions[c.resolve(to)]) {
-		if s.away.IsZero() && !s.mux.IsClosed() && s.wire.silence(now) < c.limits.Stall {
-			s.used = now
+		if s.goAwaySent.IsZero() && !s.mux.IsClosed() && s.conn.silence(now) < c.limits.Stall {
+			s.lastUsed = now
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
-// remove forgets a session that has ended.
+// remove removes a session that has ended.
 func (c *Connector) remove(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +107,7 @@
 	address := s.peer.Address
 	list := slices.DeleteFunc(c.sessions[address], func(other *session) bool { return other == s })
 	if len(list) > 0 {
-		list[len(list)-1].retired = false
+		list[len(list)-1].superseded = false
 		c.sessions[address] = list
 		return
 	}
@@ -120,14 +123,14 @@
 	c.metrics.closed(reason)
 	level.Debug(c.Logger).Log("msg", "session closed", "peer", s.peer.Name, "address", s.peer.Address, "reason", reason)
 	s.cancel()
-	// Closing the socket first keeps yamux from waiting for a peer that
-	// doesn't read.
-	_ = s.wire.Close()
+	// The connection is closed first, so that yamux does not block on a write to a
+	// peer that does not read.
+	_ = s.conn.Close()
 	_ = s.mux.Close()
 	c.remove(s)
 }
 
-// all returns every session.
+// all returns all sessions.
 func (c *Connector) all() []*session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/connector/segments.go
+++ b/node/connector/segments.go
@@ -7,74 +7,78 @@
 	"time"
 )
 
-// Bytes of headers without options, and of the timestamp option, which a
-// segment carries when both ends have agreed on it.
+// Lengths of headers without options, and of the TCP timestamp option, which
+// segments carry if both ends have negotiated it.
 const (
-	ipv4Bytes      = 20
-	ipv6Bytes      = 40
-	tcpBytes       = 20
-	timestampBytes = 12
+	ipv4HeaderBytes      = 20
+	ipv6HeaderBytes      = 40
+	tcpHeaderBytes       = 20
+	timestampOptionBytes = 12
 )
 
-// segments is what the kernel has counted for a connection, acknowledgements
-// without data and retransmissions included. The counts wrap around.
-type segments struct {
+// tcpStats holds the kernel's statistics of a connection. The segment counts
+// include pure acknowledgements and retransmissions, and wrap around.
+type tcpStats struct {
 	in, out    uint32
 	timestamps bool
-	// pending says that the peer's system has not acknowledged all that was sent,
-	// acknowledged is the time since its last acknowledgement.
-	pending      bool
-	acknowledged time.Duration
+	// unacknowledged is set if the peer's TCP stack has not acknowledged all sent
+	// data. sinceAck is the time since its last acknowledgement.
+	unacknowledged bool
+	sinceAck       time.Duration
 }
 
-// segmentCounter follows the segments of a connection. The zero value counts nothing.
+// segmentCounter counts the TCP segments of a connection. The zero value counts
+// nothing.
 type segmentCounter struct {
 	raw syscall.RawConn
-	// ip is the length of the IP header.
-	ip int64
+	// ipHeaderBytes is the length of the IP header.
+	ipHeaderBytes int64
 
 	mu   sync.Mutex
-	last segments
+	last tcpStats
 }
 
 func newSegmentCounter(conn net.Conn) *segmentCounter {
-	m := &segmentCounter{ip: ipv6Bytes}
+	s := &segmentCounter{ipHeaderBytes: ipv6HeaderBytes}
 	if remote, ok := conn.RemoteAddr().(*net.TCPAddr); ok && remote.IP.To4() != nil {
-		m.ip = ipv4Bytes
+		s.ipHeaderBytes = ipv4HeaderBytes
 	}
 	if c, ok := conn.(syscall.Conn); ok {
-		// Fails on a closed connection only; nothing is counted then.
-		m.raw, _ = c.SyscallConn()
+		// SyscallConn fails only on a closed connection, whose segments are not
+		// counted.
+		s.raw, _ = c.SyscallConn()
 	}
-	return m
+	return s
 }
 
-// acknowledges reports whether the peer's system still takes what was sent: some
-// of it is not acknowledged yet, some was within the given time.
-func (m *segmentCounter) acknowledges(within time.Duration) bool {
-	if m.raw == nil {
+// acknowledging reports whether the peer's TCP stack is still taking sent data:
+// some data is unacknowledged, and an acknowledgement arrived within the given
+// time.
+func (s *segmentCounter) acknowledging(within time.Duration) bool {
+	if s.raw == nil {
 		return false
 	}
-	now, ok := readSegments(m.raw)
-	return ok && now.pending && now.acknowledged < within
+	now, ok := readTCPStats(s.raw)
+	return ok && now.unacknowledged && now.sinceAck < within
 }
 
-// advance returns the segments since the last call and their headers' bytes.
-func (m *segmentCounter) advance() (in, out, inBytes, outBytes int64) {
-	if m.raw == nil {
+// delta returns the number of segments since the last call and the total length
+// of their headers.
+func (s *segmentCounter) delta() (in, out, inBytes, outBytes int64) {
+	if s.raw == nil {
 		return 0, 0, 0, 0
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	now, ok := readSegments(m.raw)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now, ok := readTCPStats(s.raw)
 	if !ok {
 		return 0, 0, 0, 0
 	}
-	in, out = int64(now.in-m.last.in), int64(now.out-m.last.out)
-	m.last = now
-	header := m.ip + tcpBytes
+	in, out = int64(now.in-s.last.in), int64(now.out-s.last.out)
+	s.last = now
+	header := s.ipHeaderBytes + tcpHeaderBytes
 	if now.timestamps {
-		header += timestampBytes
+		header += timestampOptionBytes
 	}
 	return in, out, in * header, out * header
 }
--- a/node/connector/segments_linux.go
+++ b/node/connector/segments_linux.go
@@ -7,20 +7,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// optionTimestamps is TCPI_OPT_TIMESTAMPS of linux/tcp.h.
-const optionTimestamps = 1
+// tcpiOptTimestamps is TCPI_OPT_TIMESTAMPS from linux/tcp.h.
+const tcpiOptTimestamps = 1
 
-func readSegments(raw syscall.RawConn) (segments, bool) {
+func readTCPStats(raw syscall.RawConn) (tcpStats, bool) {
 	var info *unix.TCPInfo
-	var failed error
+	var infoErr error
 	err := raw.Control(func(fd uintptr) {
-		info, failed = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		info, infoErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
-	if err != nil || failed != nil {
-		return segments{}, false
+	if err != nil || infoErr != nil {
+		return tcpStats{}, false
 	}
-	return segments{
-		info.Segs_in, info.Segs_out, info.Options&optionTimestamps != 0,
+	return tcpStats{
+		info.Segs_in, info.Segs_out, info.Options&tcpiOptTimestamps != 0,
 		info.Unacked > 0, time.Duration(info.Last_ack_recv) * time.Millisecond,
 	}, true
 }
--- a/node/connector/segments_other.go
+++ b/node/connector/segments_other.go
@@ -4,4 +4,4 @@
 
 import "syscall"
 
-func readSegments(syscall.RawConn) (segments, bool) { return segments{}, false }
+func readTCPStats(syscall.RawConn) (tcpStats, bool) { return tcpStats{}, false }
--- a/node/connector/session.go
+++ b/node/connector/session.go
@@ -18,28 +18,28 @@
 type session struct {
 	peer    Peer
 	scope   Scope
-	wire    *wire
+	conn    *meteredConn
 	mux     *yamux.Session
 	dialled bool
 	opened  time.Time
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// handled counts the inbound streams whose handler runs.
-	handled atomic.Int64
-	pinging atomic.Bool
-	prober  prober
-
-	// The connector's mutex guards the fields below.
-
-	// retired is set when another session to the peer takes the new streams.
-	retired bool
-	// away is the time when this end stopped accepting streams.
-	away time.Time
-	// used is the last time when a stream was seen or opened.
-	used time.Time
+	// activeHandlers counts the inbound streams whose handlers are running.
+	activeHandlers atomic.Int64
+	pinging        atomic.Bool
+	prober         prober
+
+	// The connector's mutex guards the following fields.
+
+	// superseded is set while another session to the peer takes the new streams.
+	superseded bool
+	// goAwaySent is the time when this end stopped accepting streams.
+	goAwaySent time.Time
+	// lastUsed is the last time a stream was opened or found open.
+	lastUsed time.Time
 }
 
-// diallerName names the end that dialled.
+// diallerName returns the name of the node that dialled the session.
 func (s *session) diallerName(self string) string {
 	if s.dialled {
 		return self
@@ -47,16 +47,16 @@
 	return s.peer.Name
 }
 
-// exchange sends and receives the hello frames.
-func exchange(conn net.Conn, self Peer, dialled bool) (Peer, error) {
-	// The dialling end speaks first, so that a listener tells an unidentified
-	// client nothing.
+// exchangeHello sends and receives the hello frames.
+func exchangeHello(conn net.Conn, self Peer, dialled bool) (Peer, error) {
+	// The dialling end sends first, so that the listening end discloses nothing to
+	// an unidentified client.
 	if dialled {
 		if _, err := encoder.Write(conn, self.hello()); err != nil {
 			return Peer{}, err
 		}
 	}
-	hello, err := encoder.Read[Hello](conn, helloBytes)
+	hello, err := encoder.Read[Hello](conn, maxHelloBytes)
 	if err != nil {
 		return Peer{}, err
 	}
@@ -65,7 +65,7 @@
 		return Peer{}, err
 	}
 	if peer.Name == self.Name {
-		return Peer{}, errors.Errorf("peer at %s has this node's name", peer.Address)
+		return Peer{}, errors.Errorf("peer at %s has the same name as this node", peer.Address)
 	}
 	if !dialled {
 		if _, err := encoder.Write(conn, self.hello()); err != nil {
@@ -75,48 +75,48 @@
 	return peer, nil
 }
 
-// establish turns a TCP connection into a session. It closes the connection
-// on failure.
+// establish performs the handshakes on a TCP connection and returns its session.
+// It closes the connection on failure.
 func (c *Connector) establish(ctx context.Context, conn net.Conn, dialled bool) (*session, error) {
-	s := &session{wire: newWire(conn, time.Now()), dialled: dialled}
+	s := &session{conn: newMeteredConn(conn, time.Now()), dialled: dialled}
 	err := c.handshake(ctx, s)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	s.scope = c.Self.scope(s.peer)
-	s.ctx, s.cancel = context.WithCancel(c.streams)
+	s.ctx, s.cancel = context.WithCancel(c.streamCtx)
 	s.opened = time.Now()
-	s.used = s.opened
+	s.lastUsed = s.opened
 	return s, nil
 }
 
 func (c *Connector) handshake(ctx context.Context, s *session) error {
 	if deadline, ok := ctx.Deadline(); ok {
-		_ = s.wire.SetDeadline(deadline)
+		_ = s.conn.SetDeadline(deadline)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = s.wire.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
-	secured, err := secure(ctx, s.wire, c.TLS, s.dialled)
+	secured, err := handshakeTLS(ctx, s.conn, c.TLS, s.dialled)
 	if err != nil {
 		return err
 	}
-	if s.peer, err = exchange(secured, c.Self, s.dialled); err != nil {
-		return errors.Wrap(err, "hello")
+	if s.peer, err = exchangeHello(secured, c.Self, s.dialled); err != nil {
+		return errors.Wrap(err, "exchange hello")
 	}
-	_ = s.wire.SetDeadline(time.Time{})
+	_ = s.conn.SetDeadline(time.Time{})
 	create := yamux.Server
 	if s.dialled {
 		create = yamux.Client
 	}
-	s.mux, err = create(&joiner{Conn: secured}, c.muxConfig())
-	return errors.Wrap(err, "session")
+	s.mux, err = create(&frameCoalescer{Conn: secured}, c.muxConfig())
+	return errors.Wrap(err, "start yamux session")
 }
 
 func (c *Connector) muxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
-	// The sweep pings silent sessions: pinging only after silence saves the
-	// bytes of keepalives beside heartbeats, and any received byte counts.
+	// The sweep pings silent sessions instead. Any received data counts as a sign
+	// of life, so a session with heartbeats needs no keepalives.
 	config.EnableKeepAlive = false
 	config.ConnectionWriteTimeout = c.limits.Stall
 	config.LogOutput = nil
@@ -124,7 +124,7 @@
 	return config
 }
 
-// open starts a stream and writes its head.
+// open opens a stream and writes its head.
 func (s *session) open(kind string) (net.Conn, error) {
 	conn, err := s.mux.OpenStream()
 	if err != nil {
@@ -133,53 +133,53 @@
 	_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
 	if _, err := encoder.Write(conn, &Head{Kind: kind}); err != nil {
 		_ = conn.Close()
-		return nil, errors.Wrap(err, "stream head")
+		return nil, errors.Wrap(err, "write stream head")
 	}
 	_ = conn.SetWriteDeadline(time.Time{})
 	return conn, nil
 }
 
-// accept serves the peer's streams until the session ends.
-func (c *Connector) accept(s *session) {
+// acceptStreams accepts and serves streams of the peer until the session ends.
+func (c *Connector) acceptStreams(s *session) {
 	for {
 		conn, err := s.mux.AcceptStream()
 		if err != nil {
 			break
 		}
-		if s.handled.Add(1) > int64(c.limits.Streams) {
-			s.handled.Add(-1)
+		if s.activeHandlers.Add(1) > int64(c.limits.Streams) {
+			s.activeHandlers.Add(-1)
 			c.metrics.rejected("streams")
 			_ = conn.Close()
 			continue
 		}
 		go func() {
-			defer s.handled.Add(-1)
-			c.serve(s, conn)
+			defer s.activeHandlers.Add(-1)
+			c.serveStream(s, conn)
 		}()
 	}
 	c.remove(s)
 }
 
-func (c *Connector) serve(s *session, conn net.Conn) {
+func (c *Connector) serveStream(s *session, conn net.Conn) {
 	defer conn.Close()
 	_ = conn.SetReadDeadline(time.Now().Add(c.limits.Dial))
-	head, err := encoder.Read[Head](conn, headBytes)
+	head, err := encoder.Read[Head](conn, maxHeadBytes)
 	if err != nil {
 		c.metrics.rejected("head")
-		level.Debug(c.Logger).Log("msg", "stream without a valid head", "peer", s.peer.Name, "err", err)
+		level.Debug(c.Logger).Log("msg", "inbound stream rejected: invalid head", "peer", s.peer.Name, "err", err)
 		return
 	}
 	_ = conn.SetReadDeadline(time.Time{})
 	handler := c.Handlers[head.GetKind()]
 	if handler == nil {
 		c.metrics.rejected("kind")
-		level.Debug(c.Logger).Log("msg", "stream of unknown kind", "peer", s.peer.Name, "kind", head.GetKind())
+		level.Debug(c.Logger).Log("msg", "inbound stream rejected: unknown kind", "peer", s.peer.Name, "kind", head.GetKind())
 		return
 	}
 	handler(s.ctx, s.peer, c.wrap(s, conn, head.GetKind()))
 }
 
-// muxLogger passes yamux's messages on.
+// muxLogger forwards yamux's log messages.
 type muxLogger struct{ log.Logger }
 
 func (l muxLogger) Print(v ...any)                 { l.Printf("%v", v) }
--- a/node/connector/sweep.go
+++ b/node/connector/sweep.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// action is what the sweep does with a session.
+// action is what the sweep does to a session.
 type action int
 
 const (
 	keep action = iota
 	ping
 	closeStalled
-	// stopAccepting sends GoAway; the session ends one sweep or more later,
-	// so that streams already on their way are served.
+	// stopAccepting sends GoAway. The session is closed at least one sweep later,
+	// so that streams opened by the peer in the meantime are served.
 	stopAccepting
 	closeIdle
 )
 
-// condition is what the sweep knows of a session.
+// condition is the state of a session at a sweep.
 type condition struct {
 	silence time.Duration
-	// unused is the time without streams.
-	unused  time.Duration
-	streams int
-	retired bool
-	// away is the time since this end stopped accepting, zero before that.
-	away time.Duration
+	// idle is the time without open streams.
+	idle       time.Duration
+	streams    int
+	superseded bool
+	// sinceGoAway is the time since this end stopped accepting streams, and zero
+	// before that.
+	sinceGoAway time.Duration
 }
 
-// next decides what to do with a session.
-func (l Limits) next(c condition) action {
+// nextAction decides what the sweep does to a session.
+func (l Limits) nextAction(c condition) action {
 	switch {
 	case c.silence >= l.Stall:
 		return closeStalled
-	case c.away >= l.Ping && c.streams == 0:
+	case c.sinceGoAway >= l.Ping && c.streams == 0:
 		return closeIdle
-	case c.away == 0 && c.streams == 0 && (c.unused >= l.Idle || c.retired && c.unused >= l.Linger):
+	case c.sinceGoAway == 0 && c.streams == 0 && (c.idle >= l.Idle || c.superseded && c.idle >= l.Linger):
 		return stopAccepting
 	case c.silence >= l.Ping:
 		return ping
@@ -44,8 +45,8 @@
 	return keep
 }
 
-// sweep looks after all sessions until ctx ends. One timer for all of them
-// costs less than a timer and a goroutine each.
+// sweep checks all sessions periodically until ctx is canceled. One timer for all
+// sessions costs less than a timer and a goroutine per session.
 func (c *Connector) sweep(ctx context.Context) {
 	ticker := time.NewTicker(c.limits.Ping / 2)
 	defer ticker.Stop()
@@ -58,24 +59,24 @@
 			c.metrics.sessions.Update(float64(len(sessions)))
 			for _, s := range sessions {
 				c.metrics.flush(s)
-				c.look(now, s)
+				c.sweepSession(now, s)
 			}
-			c.forgetTargets(now)
+			c.pruneTargets(now)
 		}
 	}
 }
 
-func (c *Connector) look(now time.Time, s *session) {
-	switch c.limits.next(c.condition(now, s)) {
+func (c *Connector) sweepSession(now time.Time, s *session) {
+	switch c.limits.nextAction(c.condition(now, s)) {
 	case closeStalled:
-		// Closing may wait for a write in progress, so it must not hold up
-		// the sweep of other sessions.
+		// Closing may block on a write in progress, and must not delay the sweep of
+		// other sessions.
 		go c.closeSession(s, "stalled")
 	case closeIdle:
 		go c.closeSession(s, "idle")
 	case stopAccepting:
 		c.mu.Lock()
-		s.away = now
+		s.goAwaySent = now
 		c.mu.Unlock()
 		go s.mux.GoAway()
 	case ping:
@@ -84,7 +85,7 @@
 	}
 }
 
-// ping asks the peer for a sign of life, unless an earlier ping is under way.
+// ping pings the peer unless an earlier ping is still in progress.
 func (c *Connector) ping(s *session) {
 	if s.pinging.CompareAndSwap(false, true) {
 		go func() {
@@ -94,12 +95,12 @@
 	}
 }
 
-// forgetTargets drops the failures of addresses that nobody dials any more.
-func (c *Connector) forgetTargets(now time.Time) {
+// pruneTargets drops the dial state of addresses that are no longer dialled.
+func (c *Connector) pruneTargets(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, t := range c.targets {
-		if t.current == nil && now.Sub(t.retry) > 2*backoffMost {
+		if t.current == nil && now.Sub(t.retryAt) > 2*maxBackoff {
 			delete(c.targets, address)
 		}
 	}
@@ -110,11 +111,11 @@
 	defer c.mu.Unlock()
 	streams := s.mux.NumStreams()
 	if streams > 0 {
-		s.used = now
+		s.lastUsed = now
 	}
-	found := condition{silence: s.wire.silence(now), unused: now.Sub(s.used), streams: streams, retired: s.retired}
-	if !s.away.IsZero() {
-		found.away = max(now.Sub(s.away), 1)
+	result := condition{silence: s.conn.silence(now), idle: now.Sub(s.lastUsed), streams: streams, superseded: s.superseded}
+	if !s.goAwaySent.IsZero() {
+		result.sinceGoAway = max(now.Sub(s.goAwaySent), 1)
 	}
-	return found
+	return result
 }
--- a/node/connector/tls.go
+++ b/node/connector/tls.go
@@ -9,11 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// serverTLS requires a certificate of the cluster's CA from every client.
+// serverTLS returns a server configuration that requires a client certificate
+// issued by the cluster's CA.
 func serverTLS(config *tls.Config) *tls.Config {
 	config = config.Clone()
 	config.MinVersion = tls.VersionTLS13
-	// Clients keep no session cache, so tickets would only cost bytes.
+	// Clients have no session cache, so tickets would only add traffic.
 	config.SessionTicketsDisabled = true
 	config.ClientAuth = tls.RequireAndVerifyClientCert
 	if config.ClientCAs == nil {
@@ -22,9 +23,9 @@
 	return config
 }
 
-// clientTLS verifies that the server's certificate belongs to the cluster's
-// CA. Peers are dialled by IP address and instances change addresses, so a
-// host name is verified only when config sets one.
+// clientTLS returns a client configuration that verifies the server's certificate
+// against the cluster's CA. Peers are dialled by IP address and instances change
+// addresses, so the host name is verified only if config sets one.
 func clientTLS(config *tls.Config) *tls.Config {
 	config = config.Clone()
 	config.MinVersion = tls.VersionTLS13
@@ -41,9 +42,9 @@
 	return config
 }
 
-// secure completes the TLS handshake. Without a configuration the connection
-// stays plain.
-func secure(ctx context.Context, conn net.Conn, config *tls.Config, dialled bool) (net.Conn, error) {
+// handshakeTLS performs the TLS handshake. Without a configuration it returns the
+// plain connection.
+func handshakeTLS(ctx context.Context, conn net.Conn, config *tls.Config, dialled bool) (net.Conn, error) {
 	if config == nil {
 		return conn, nil
 	}
--- a/node/connector/tls_test.go
+++ b/node/connector/tls_test.go
@@ -15,7 +15,7 @@
 	"sycamorerun/node/connector"
 )
 
-// authority issues the certificates of one cluster.
+// authority is the certificate authority of one cluster.
 type authority struct {
 	t           testing.TB
 	certificate *x509.Certificate
@@ -51,10 +51,11 @@
 	return certificate, key
 }
 
-// config returns a node's configuration, expired when life is negative.
-func (a authority) config(life time.Duration) *tls.Config {
+// config returns the TLS configuration of a node. Its certificate has expired if
+// lifetime is negative.
+func (a authority) config(lifetime time.Duration) *tls.Config {
 	certificate, key := a.issue(&x509.Certificate{
-		SerialNumber: big.NewInt(2), NotAfter: time.Now().Add(life),
+		SerialNumber: big.NewInt(2), NotAfter: time.Now().Add(lifetime),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}, a.certificate, a.key)
 	roots := x509.NewCertPool()
@@ -65,14 +66,14 @@
 	}
 }
 
-// Guards against a peer that is accepted, in either direction, without a
-// valid certificate of the cluster.
+// Guards against accepting a peer, in either direction, without a valid
+// certificate of the cluster.
 func TestCertificates(t *testing.T) {
 	cluster, other := newAuthority(t), newAuthority(t)
-	without := cluster.config(time.Hour)
-	without.Certificates = nil
-	old := cluster.config(time.Hour)
-	old.MaxVersion = tls.VersionTLS12
+	noCertificate := cluster.config(time.Hour)
+	noCertificate.Certificates = nil
+	tls12 := cluster.config(time.Hour)
+	tls12.MaxVersion = tls.VersionTLS12
 	foreign := other.config(time.Hour)
 	foreign.RootCAs = cluster.config(time.Hour).RootCAs
 	cases := map[string]struct {
@@ -83,9 +84,9 @@
 		"other cluster":       {other.config(time.Hour), false},
 		"foreign certificate": {foreign, false},
 		"expired":             {cluster.config(-time.Hour), false},
-		"no certificate":      {without, false},
+		"no certificate":      {noCertificate, false},
 		"plain TCP":           {nil, false},
-		"TLS 1.2":             {old, false},
+		"TLS 1.2":             {tls12, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/connector/tracker_test.go
+++ b/node/connector/tracker_test.go
@@ -19,13 +19,13 @@
 	"sycamorerun/node/tracker"
 )
 
-// member runs a tracker over a connector. heard counts the heartbeats that it
-// received.
-func member(t testing.TB, name string, seed netip.AddrPort, heard *atomic.Int64, config *tls.Config, change func(*connector.Connector)) (*tracker.Tracker, *connector.Connector) {
+// member runs a tracker over a connector. heartbeats counts the heartbeats that
+// the tracker receives.
+func member(t testing.TB, name string, seed netip.AddrPort, heartbeats *atomic.Int64, config *tls.Config, configure func(*connector.Connector)) (*tracker.Tracker, *connector.Connector) {
 	t.Helper()
-	members := &tracker.Tracker{VersionSeen: func(string, sycamorerun.Version) { heard.Add(1) }}
+	members := &tracker.Tracker{VersionSeen: func(string, sycamorerun.Version) { heartbeats.Add(1) }}
 	peers, _ := start(t, name, config, func(c *connector.Connector) {
-		change(c)
+		configure(c)
 		c.Handlers["tracker"] = func(ctx context.Context, from connector.Peer, stream net.Conn) {
 			members.Serve(ctx, from.Name, stream)
 		}
@@ -50,63 +50,63 @@
 	return members, peers
 }
 
-// Guards against a peer that is declared failed because its session went
-// silent while new ones work. It runs with the periods of production.
+// Guards against declaring a peer failed because its session went silent while new
+// sessions work. It runs with the production intervals.
 func TestFrozenSessionIsNoFailure(t *testing.T) {
 	t.Parallel()
-	var heard [2]atomic.Int64
-	// A node's hello and record carry its proxy's address.
-	behind := func(name string, seed netip.AddrPort, heard *atomic.Int64) (*tracker.Tracker, *proxy) {
+	var heartbeats [2]atomic.Int64
+	// Each node announces the address of its proxy in its hello and its record.
+	startBehindProxy := func(name string, seed netip.AddrPort, heartbeats *atomic.Int64) (*tracker.Tracker, *proxy) {
 		p := newProxy(t)
-		members, peers := member(t, name, seed, heard, nil, func(c *connector.Connector) { c.Self.Address = p.address })
+		members, peers := member(t, name, seed, heartbeats, nil, func(c *connector.Connector) { c.Self.Address = p.address })
 		p.to.Store(&peers.Listen)
 		return members, p
 	}
-	a, pa := behind("a", netip.AddrPort{}, &heard[0])
-	b, pb := behind("b", pa.address, &heard[1])
-	both := func() bool { return len(a.Live(time.Now())) == 2 && len(b.Live(time.Now())) == 2 }
-	beats := func(n int64) func() bool {
-		from := [2]int64{heard[0].Load(), heard[1].Load()}
-		return func() bool { return heard[0].Load() >= from[0]+n && heard[1].Load() >= from[1]+n }
+	a, proxyA := startBehindProxy("a", netip.AddrPort{}, &heartbeats[0])
+	b, proxyB := startBehindProxy("b", proxyA.address, &heartbeats[1])
+	bothLive := func() bool { return len(a.Live(time.Now())) == 2 && len(b.Live(time.Now())) == 2 }
+	received := func(n int64) func() bool {
+		before := [2]int64{heartbeats[0].Load(), heartbeats[1].Load()}
+		return func() bool { return heartbeats[0].Load() >= before[0]+n && heartbeats[1].Load() >= before[1]+n }
 	}
-	eventually(t, "both know each other", both)
-	eventually(t, "heartbeats", beats(1))
-	pa.freeze()
-	pb.freeze()
-	again := beats(2)
-	eventually(t, "heartbeats over a new session", func() bool {
-		if !both() {
-			t.Fatal("peer declared failed")
+	eventually(t, "each node lists the other as live", bothLive)
+	eventually(t, "both nodes receive heartbeats", received(1))
+	proxyA.freeze()
+	proxyB.freeze()
+	receivedAgain := received(2)
+	eventually(t, "both nodes receive heartbeats over a new session", func() bool {
+		if !bothLive() {
+			t.Fatal("live peer declared failed")
 		}
-		return again()
+		return receivedAgain()
 	})
 	for _, instance := range a.Live(time.Now()) {
 		if instance.Sequence > 1 {
-			t.Fatalf("%s had to refute", instance.Name)
+			t.Fatalf("%s had to refute a suspicion", instance.Name)
 		}
 	}
 }
 
-// BenchmarkIdleFleet reports what a fleet without changes costs each node:
-// bytes on the wire without TCP and IP, of the average and of the busiest node,
-// and processor time for everything in the process.
+// BenchmarkIdleFleet reports the cost per node of a fleet without changes: bytes
+// on the wire without TCP and IP headers, on average and for the busiest node, and
+// the average CPU time, which includes everything else in the process.
 func BenchmarkIdleFleet(b *testing.B) {
 	const members, seconds = 60, 20
-	var heard atomic.Int64
+	var heartbeats atomic.Int64
 	config := newAuthority(b).config(time.Hour)
 	var trackers []*tracker.Tracker
 	var scopes []tally.TestScope
 	var seed netip.AddrPort
 	for i := range members {
 		scope := tally.NewTestScope("", nil)
-		members, peers := member(b, fmt.Sprintf("node-%02d", i), seed, &heard, config, func(c *connector.Connector) {
+		members, peers := member(b, fmt.Sprintf("node-%02d", i), seed, &heartbeats, config, func(c *connector.Connector) {
 			c.Scope = scope
 			c.Self.AvailabilityZone = fmt.Sprintf("zone-%d", i%4)
 		})
 		seed = peers.Self.Address
 		trackers, scopes = append(trackers, members), append(scopes, scope)
 	}
-	eventually(b, "every node lists all", func() bool {
+	eventually(b, "every node lists all members as live", func() bool {
 		for _, t := range trackers {
 			if len(t.Live(time.Now())) < members {
 				return false
@@ -115,24 +115,24 @@
 		return true
 	})
 	for b.Loop() {
-		// The links of the first contacts close after 10 s, their sessions a
+		// The links of the initial contacts close after 10 s, and their sessions a
 		// minute later.
 		time.Sleep(80 * time.Second)
-		before, used := wireBytes(scopes), processor()
+		before, cpu := wireBytes(scopes), cpuTime()
 		time.Sleep(seconds * time.Second)
-		used = processor() - used
-		sum, most := int64(0), int64(0)
+		cpu = cpuTime() - cpu
+		sum, busiest := int64(0), int64(0)
 		for i, bytes := range wireBytes(scopes) {
 			sum += bytes - before[i]
-			most = max(most, bytes-before[i])
+			busiest = max(busiest, bytes-before[i])
 		}
 		b.ReportMetric(float64(sum)/members/seconds, "B/s-average")
-		b.ReportMetric(float64(most)/seconds, "B/s-most")
-		b.ReportMetric(100*used.Seconds()/members/seconds, "%core-average")
+		b.ReportMetric(float64(busiest)/seconds, "B/s-most")
+		b.ReportMetric(100*cpu.Seconds()/members/seconds, "%core-average")
 	}
 }
 
-// wireBytes returns the bytes in and out of each node.
+// wireBytes returns the sum of the bytes received and sent by each node.
 func wireBytes(scopes []tally.TestScope) []int64 {
 	list := make([]int64, len(scopes))
 	for i, scope := range scopes {
@@ -145,8 +145,8 @@
 	return list
 }
 
-// processor returns the processor time of this process.
-func processor() time.Duration {
+// cpuTime returns the CPU time used by this process.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
