--- a/node/connector/session.go
+++ b/node/connector/session.go
@@ -116,7 +116,7 @@
 func (c *Connector) muxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	// The sweep pings silent sessions instead. Any received data counts as a sign
-	// of life, so a session with heartbeats needs no keepalives.
+	// of life, so a session with heartbeats carries no keepalive traffic.
 	config.EnableKeepAlive = false
 	config.ConnectionWriteTimeout = c.limits.Stall
 	config.LogOutput = nil
