--- a/node/applier/applier.go
+++ b/node/applier/applier.go
@@ -1,5 +1,5 @@
-// Package applier verifies, validates and compiles configuration versions and
-// puts them in force one at a time, each in full or not at all.
+// Package applier verifies, validates and compiles configuration versions, and
+// activates them one at a time. Each version is applied atomically.
 package applier
 
 import (
@@ -18,29 +18,29 @@
 	"sycamorerun/node/router"
 )
 
-// Errors that callers tell apart with errors.Is.
+// Errors for errors.Is.
 var (
-	// ErrGap means that versions between the current one and the entry's are
-	// missing; the caller fetches them or a snapshot.
-	ErrGap = errors.New("versions are missing before the entry")
-	// ErrCorrupt means that the content does not have the hash it claims;
-	// another copy may be good.
+	// ErrGap means that the entry is not based on the current version. The caller
+	// fetches the missing entries or a snapshot.
+	ErrGap = errors.New("entry is not based on the current version")
+	// ErrCorrupt means that the content does not match its hash. Another copy may
+	// be intact.
 	ErrCorrupt = errors.New("content does not match its hash")
-	// ErrInvalid means that the version breaks a rule on this node; another
-	// copy would too.
+	// ErrInvalid means that the version fails validation on this node. Another copy
+	// would fail too.
 	ErrInvalid = errors.New("version is invalid")
 )
 
-// State is one version in force. It is immutable.
+// State is an active version. It is immutable.
 type State struct {
 	Tree  sycamorerun.Tree
 	Hash  sycamorerun.Hash
 	Table *router.Table
-	// Since is when the version came into force on this node.
+	// Since is the time when the version became active on this node.
 	Since time.Time
 }
 
-// Refusal is the last version that was not put in force.
+// Refusal describes a version that was refused.
 type Refusal struct {
 	Version sycamorerun.Version
 	Time    time.Time
@@ -48,35 +48,37 @@
 	Faults  []sycamorerun.Fault
 }
 
-// Status is a summary for the node's status page.
+// Status summarizes the applier for the status page of the node.
 type Status struct {
 	Version sycamorerun.Version
 	Hash    sycamorerun.Hash
 	Since   time.Time
-	// Refusal is nil once a version at or above the refused one is in force.
+	// Refusal is the last refusal. It is nil once the refused version or a later one
+	// is active.
 	Refusal *Refusal
+	// Refused is the number of refusals.
 	Refused int
 }
 
-// Applier owns the tree in force. Its exported fields are set before use.
+// Applier holds the active tree. Set its exported fields before use.
 type Applier struct {
-	// Validate returns the faults of a whole tree; nil accepts every tree.
+	// Validate returns the faults of a whole tree. If it is nil, all trees are valid.
 	Validate func(items map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault
-	// Changed is called after each new version, in the order of versions. It
-	// must not call Apply or Install.
+	// Changed is called after each version becomes active, in the order of versions.
+	// It must not call Apply or Install.
 	Changed func(State)
 	Logger  log.Logger
 	Scope   tally.Scope
 
-	// mutex serialises writers; readers use state alone.
+	// mutex serializes writers. Readers of the state need no lock.
 	mutex   sync.Mutex
 	state   atomic.Pointer[State]
 	refusal *Refusal
 	refused int
 }
 
-// Current returns the state in force; before the first version, it is version
-// zero with an empty table.
+// Current returns the active state. Before the first version, it has version zero
+// and an empty routing table.
 func (a *Applier) Current() *State {
 	if state := a.state.Load(); state != nil {
 		return state
@@ -89,7 +91,7 @@
 	return &State{Hash: differ.Hash(nil), Table: table}
 }()
 
-// Status returns a summary of the state in force and the last refusal.
+// Status returns a summary of the active state and the last refusal.
 func (a *Applier) Status() Status {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -100,8 +102,8 @@
 	}
 }
 
-// Apply puts entry in force on top of the current version. An entry at or
-// below the current version is ignored.
+// Apply applies an entry to the active tree. It ignores an entry whose version is
+// not newer than the current one.
 func (a *Applier) Apply(now time.Time, entry sycamorerun.Entry) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -110,14 +112,14 @@
 	case entry.Version <= current.Tree.Version:
 		return nil
 	case entry.Basis() != current.Tree.Version:
-		return errors.Wrapf(ErrGap, "version %s on top of %s after %s", entry.Version, entry.Basis(), current.Tree.Version)
+		return errors.Wrapf(ErrGap, "apply version %s with base version %s to version %s", entry.Version, entry.Basis(), current.Tree.Version)
 	}
 	tree := differ.Apply(current.Tree, entry.Version, entry.Difference)
 	return a.replace(now, tree, entry.Hash)
 }
 
-// Install puts a whole tree in force. A tree at or below the current version
-// is ignored.
+// Install replaces the active tree by a whole tree. It ignores a tree whose
+// version is not newer than the current one.
 func (a *Applier) Install(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -127,8 +129,8 @@
 	return a.replace(now, tree.Clone(), hash)
 }
 
-// replace checks tree and swaps it in. The only write to the state is the last
-// step, so that an error leaves the previous version in force.
+// replace validates a tree and activates it. The state is stored only after all
+// checks, so an error leaves the previous version active.
 func (a *Applier) replace(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash) error {
 	if differ.Hash(tree.Items) != hash {
 		return a.refuse(now, tree.Version, ErrCorrupt, nil)
@@ -157,6 +159,7 @@
 	return nil
 }
 
+// refuse records and logs the refusal of a version and returns its error.
 func (a *Applier) refuse(now time.Time, version sycamorerun.Version, cause error, faults []sycamorerun.Fault) error {
 	reason := cause.Error()
 	if len(faults) > 0 {
@@ -168,7 +171,7 @@
 		a.Scope.Counter("applier_refused").Inc(1)
 	}
 	if a.Logger != nil {
-		level.Error(a.Logger).Log("msg", "version refused; the previous one stays in force",
+		level.Error(a.Logger).Log("msg", "configuration version refused; the current version stays active",
 			"version", version, "current", a.Current().Tree.Version, "reason", reason, "faults", len(faults))
 	}
 	return errors.Wrapf(cause, "version %s: %s", version, reason)
--- a/node/applier/applier_test.go
+++ b/node/applier/applier_test.go
@@ -30,15 +30,15 @@
 	return sycamorerun.Entry{Version: next.Version, Hash: differ.Hash(next.Items), Difference: difference}
 }
 
-// TestRefusal guards against a bad version replacing a good one in part or in
-// full, and against a refusal that leaves no trace.
+// TestRefusal guards against a bad version replacing a good one, in part or in
+// full, and against a refusal missing from the status.
 func TestRefusal(t *testing.T) {
 	first := entry(sycamorerun.Tree{}, sycamorerun.Difference{Put: valid})
 	base := differ.Apply(sycamorerun.Tree{}, 1, first.Difference)
 	corrupt := entry(base, sycamorerun.Difference{Put: map[sycamorerun.Path]sycamorerun.Item{service: sycamorerun.Item(`{"slots":7}`)}})
 	corrupt.Hash[0]++
-	later := first
-	later.Version = 3
+	gap := first
+	gap.Version = 3
 	cases := map[string]struct {
 		entry    sycamorerun.Entry
 		validate []sycamorerun.Fault
@@ -48,7 +48,7 @@
 		"route without its service": {entry(base, sycamorerun.Difference{Remove: []sycamorerun.Path{service}}), nil, ErrInvalid, 1},
 		"validation fault":          {entry(base, sycamorerun.Difference{}), []sycamorerun.Fault{{Path: "p", Reason: "r"}}, ErrInvalid, 1},
 		"wrong hash":                {corrupt, nil, ErrCorrupt, 1},
-		"gap":                       {later, nil, ErrGap, 0},
+		"gap":                       {gap, nil, ErrGap, 0},
 		"same version":              {first, nil, nil, 0},
 	}
 	for name, c := range cases {
@@ -77,9 +77,10 @@
 	}
 }
 
-// TestNeverOlder guards against a version moving back, or a tree that differs
-// from the accepted one, under any order of entries, snapshots and bad copies.
-func TestNeverOlder(t *testing.T) {
+// TestVersionNeverDecreases guards against a decreasing version, and against a tree
+// that differs from the accepted one, under any order of entries, snapshots and
+// corrupt copies.
+func TestVersionNeverDecreases(t *testing.T) {
 	history := []sycamorerun.Tree{{}}
 	entries := []sycamorerun.Entry{{}}
 	for i := range 12 {
@@ -96,7 +97,7 @@
 		last := sycamorerun.Version(0)
 		a := &Applier{Changed: func(state State) {
 			if state.Tree.Version <= last {
-				t.Fatalf("version %s after %s", state.Tree.Version, last)
+				t.Fatalf("version %s became active after version %s", state.Tree.Version, last)
 			}
 			last = state.Tree.Version
 		}}
@@ -113,17 +114,18 @@
 				_ = a.Apply(start, next)
 			}
 			current := a.Current()
-			if differ.Hash(current.Tree.Items) != entriesHash(entries, current.Tree.Version) || current.Tree.Version != last {
-				t.Fatalf("version %s is not the accepted tree", current.Tree.Version)
+			if differ.Hash(current.Tree.Items) != hashOf(entries, current.Tree.Version) || current.Tree.Version != last {
+				t.Fatalf("tree of version %s differs from the accepted tree", current.Tree.Version)
 			}
 			if current.Table.Version() != current.Tree.Version {
-				t.Fatal("table and tree differ in version")
+				t.Fatal("routing table and tree have different versions")
 			}
 		}
 	})
 }
 
-func entriesHash(entries []sycamorerun.Entry, version sycamorerun.Version) sycamorerun.Hash {
+// hashOf returns the hash of the accepted tree of a version.
+func hashOf(entries []sycamorerun.Entry, version sycamorerun.Version) sycamorerun.Hash {
 	if version == 0 {
 		return differ.Hash(nil)
 	}
@@ -131,18 +133,18 @@
 }
 
 // TestConcurrent guards, under the race detector, against readers that see a
-// state in the making, and against writers that overtake each other: the check
-// of the age and the swap are one step.
+// partial state, and against a writer that replaces a newer version because the
+// version check and the swap are not atomic.
 func TestConcurrent(t *testing.T) {
 	last := sycamorerun.Version(0)
 	a := &Applier{
 		Validate: func(map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
-			time.Sleep(time.Microsecond) // lets other writers in
+			time.Sleep(time.Microsecond) // lets other writers run
 			return nil
 		},
 		Changed: func(state State) {
 			if state.Tree.Version <= last {
-				t.Errorf("version %s after %s", state.Tree.Version, last)
+				t.Errorf("version %s became active after version %s", state.Tree.Version, last)
 			}
 			last = state.Tree.Version
 		},
@@ -153,7 +155,7 @@
 			for version := range sycamorerun.Version(50) {
 				_ = a.Install(start, sycamorerun.Tree{Version: version + 1, Items: valid}, differ.Hash(valid))
 				if state := a.Current(); state.Table.Version() != state.Tree.Version {
-					t.Error("table and tree differ in version")
+					t.Error("routing table and tree have different versions")
 				}
 			}
 		})
