--- a/node/seeder/seeder.go
+++ b/node/seeder/seeder.go
@@ -1,6 +1,6 @@
-// Package seeder gives a starting node its first peers: from its settings, or
-// from the seed records that the first member of each availability zone keeps
-// in the store.
+// Package seeder provides the seed peers of a starting node, from its settings or
+// from the seed records in the store. The first member of each availability zone
+// maintains the record of the zone.
 package seeder
 
 import (
@@ -19,26 +19,26 @@
 	"sycamorerun/persister"
 )
 
-// Prefix is the prefix of the seed records' keys.
+// Prefix is the key prefix of seed records.
 const Prefix = "node/"
 
 const (
-	// interval is the time between checks of the own zone's record. A full
-	// jitter keeps the nodes of a herd restart apart.
-	interval = 5 * time.Second
-	// patience is how long a record that names no live member is left alone,
-	// by this node's own clock. A node that starts apart reads the seeds after
-	// 1, 2 and 4 s, and so finds the nodes that the record names before it
-	// replaces it.
-	patience = 5 * time.Second
-	// spare is the least number of live members that a record names when there
-	// are as many.
-	spare = 2
-	// addresses is how many members a record names, so that it survives the
-	// failure of a few.
-	addresses = 4
-	// recordBytes bounds a record that is read.
-	recordBytes = 4 << 10
+	// checkInterval is the average time between checks of the zone's record. The
+	// wait has full jitter, so that nodes restarted together don't check at the
+	// same time.
+	checkInterval = 5 * time.Second
+	// replaceDelay is how long a record without live members is kept, measured by
+	// this node's clock. An isolated starting node reads the seeds after 1, 2 and
+	// 4 s, and so finds the members in the record before replacing it.
+	replaceDelay = 5 * time.Second
+	// minLiveMembers is the minimum number of live members in a record, if the zone
+	// has as many.
+	minLiveMembers = 2
+	// maxAddresses is the maximum number of members in a record. A record with
+	// several members stays useful if a few of them fail.
+	maxAddresses = 4
+	// maxRecordBytes is the maximum size of a record that is read.
+	maxRecordBytes = 4 << 10
 )
 
 // record is the seed record of an availability zone.
@@ -46,27 +46,29 @@
 	Addresses []netip.AddrPort `json:"addresses"`
 }
 
-// Seeder reads and keeps seed records. Set the fields before Run.
+// Seeder reads seed records and maintains the record of its zone. Set the exported
+// fields before Run.
 type Seeder struct {
 	Self  sycamorerun.Instance
 	Store persister.Store
-	// Fixed are the peers from the settings; the store is not asked when
-	// there are any.
+	// Fixed holds the peers from the settings. If there are any, the store is not
+	// read.
 	Fixed []netip.AddrPort
-	// IsMaintainer reports whether this node keeps its availability zone's record.
+	// IsMaintainer reports whether this node maintains the record of its
+	// availability zone.
 	IsMaintainer func() bool
 	Live         func(now time.Time) []sycamorerun.Instance
 	Now          func() time.Time
 	Logger       log.Logger
 
-	// seen is the revision of the stored record that was read last, since the
-	// time of its first reading.
-	seen  persister.Revision
-	since time.Time
+	// lastRevision is the revision of the record that was read last, firstSeen the
+	// time when that revision was first read.
+	lastRevision persister.Revision
+	firstSeen    time.Time
 }
 
-// Seeds returns the addresses of possible first peers, by one list of the
-// store at most.
+// Seeds returns the addresses of seed peers. It makes at most one list request to
+// the store.
 func (s *Seeder) Seeds(ctx context.Context) ([]netip.AddrPort, error) {
 	if len(s.Fixed) > 0 {
 		return s.Fixed, nil
@@ -77,20 +79,20 @@
 	}
 	var seeds []netip.AddrPort
 	for _, object := range listing.Objects {
-		seeds = append(seeds, decode(object).Addresses...)
+		seeds = append(seeds, decodeRecord(object).Addresses...)
 	}
 	return slices.DeleteFunc(seeds, func(a netip.AddrPort) bool { return a == s.Self.Address }), nil
 }
 
-// Run keeps the zone's record while this node is the one to do so.
+// Run maintains the zone's record while this node is its maintainer.
 func (s *Seeder) Run(ctx context.Context) error {
 	for {
 		if s.IsMaintainer() {
-			if err := s.keep(ctx); err != nil && ctx.Err() == nil {
-				level.Debug(s.Logger).Log("msg", "seed record not written", "err", err)
+			if err := s.maintain(ctx); err != nil && ctx.Err() == nil {
+				level.Debug(s.Logger).Log("msg", "maintaining the seed record failed", "err", err)
 			}
 		}
-		timer := time.NewTimer(rand.N(2 * interval))
+		timer := time.NewTimer(rand.N(2 * checkInterval))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -100,19 +102,20 @@
 	}
 }
 
-func (s *Seeder) keep(ctx context.Context) error {
+// maintain replaces the zone's record if necessary.
+func (s *Seeder) maintain(ctx context.Context) error {
 	key := Prefix + s.Self.AvailabilityZone
 	object, err := s.Store.Get(ctx, key)
 	if err != nil && !errors.Is(err, persister.ErrMissing) {
 		return err
 	}
 	now := s.Now()
-	if s.since.IsZero() || object.Revision != s.seen {
-		s.seen, s.since = object.Revision, now
+	if s.firstSeen.IsZero() || object.Revision != s.lastRevision {
+		s.lastRevision, s.firstSeen = object.Revision, now
 	}
 	live := s.Live(now)
-	wanted := choose(s.Self, live)
-	if !due(decode(object).Addresses, wanted, live, now.Sub(s.since)) {
+	wanted := chooseAddresses(s.Self, live)
+	if !needsReplacement(decodeRecord(object).Addresses, wanted, live, now.Sub(s.firstSeen)) {
 		return nil
 	}
 	value, err := json.Marshal(record{Addresses: wanted})
@@ -121,17 +124,17 @@
 	}
 	_, err = s.Store.Put(ctx, key, value, object.Revision)
 	if errors.Is(err, persister.ErrConflict) {
-		return nil // Another node of the zone wrote it; the next check looks again.
+		return nil // Another node of the zone wrote the record; the next check reads it.
 	}
 	return err
 }
 
-// choose returns the members that the record of self's zone names: self and
-// the next ones by name.
-func choose(self sycamorerun.Instance, live []sycamorerun.Instance) []netip.AddrPort {
+// chooseAddresses returns the addresses for the record of self's zone: self and
+// the next live members of the zone. live is sorted by name.
+func chooseAddresses(self sycamorerun.Instance, live []sycamorerun.Instance) []netip.AddrPort {
 	chosen := []netip.AddrPort{self.Address}
 	for _, member := range live {
-		if len(chosen) == addresses {
+		if len(chosen) == maxAddresses {
 			break
 		}
 		if member.AvailabilityZone == self.AvailabilityZone && member.Name != self.Name {
@@ -141,30 +144,30 @@
 	return chosen
 }
 
-// due reports whether the stored record has to be replaced, when its revision
-// has been there for age: it names too few live members. One that names none
-// may be from nodes that this one does not know yet, and is left alone for a
-// while, so that nodes that start apart find each other through it.
-func due(stored, wanted []netip.AddrPort, live []sycamorerun.Instance, age time.Duration) bool {
-	named := 0
+// needsReplacement reports whether the stored record, whose revision has the given
+// age, contains too few live members. A record without live members may be from
+// nodes that this node does not know yet. It is kept for replaceDelay, so that
+// nodes that start separately find each other through it.
+func needsReplacement(stored, wanted []netip.AddrPort, live []sycamorerun.Instance, age time.Duration) bool {
+	listed := 0
 	for _, member := range live {
 		if slices.Contains(stored, member.Address) {
-			named++
+			listed++
 		}
 	}
 	switch {
 	case len(stored) == 0:
 		return true
-	case named == 0:
-		return age >= patience
+	case listed == 0:
+		return age >= replaceDelay
 	}
-	return named < min(spare, len(wanted))
+	return listed < min(minLiveMembers, len(wanted))
 }
 
-// decode reads a record; one that can't be read counts as empty.
-func decode(object persister.Object) record {
+// decodeRecord decodes a record. An invalid record counts as empty.
+func decodeRecord(object persister.Object) record {
 	var r record
-	if len(object.Value) > recordBytes || json.Unmarshal(object.Value, &r) != nil {
+	if len(object.Value) > maxRecordBytes || json.Unmarshal(object.Value, &r) != nil {
 		return record{}
 	}
 	return r
--- a/node/seeder/seeder_test.go
+++ b/node/seeder/seeder_test.go
@@ -20,30 +20,30 @@
 	two   = netip.MustParseAddrPort("127.0.0.1:2")
 )
 
-// Guards against a herd whose members overwrite each other's records and so
-// never meet, against a stale record that stays for good, and against clocks
-// of two nodes that decide.
-func TestKeep(t *testing.T) {
+// Guards against nodes that start together overwriting each other's records and so
+// never finding each other, against keeping a stale record forever, and against
+// comparing the clocks of two nodes.
+func TestMaintain(t *testing.T) {
 	three, four := netip.MustParseAddrPort("127.0.0.1:3"), netip.MustParseAddrPort("127.0.0.1:4")
-	list := func(addresses ...netip.AddrPort) []netip.AddrPort { return addresses }
+	addresses := func(list ...netip.AddrPort) []netip.AddrPort { return list }
 	cases := map[string]struct {
 		stored []netip.AddrPort
 		live   []netip.AddrPort
-		// checks are the times of the checks, in seconds on a clock that is an
-		// hour ahead of the store's.
+		// checks holds the times of the checks in seconds, by a clock that is an hour
+		// ahead of the store's clock.
 		checks []int
-		// renewed says that another node writes the record before each check.
-		renewed bool
-		puts    int
+		// rewritten is set if another node writes the record before each check.
+		rewritten bool
+		puts      int
 	}{
-		"none":                     {live: list(one), checks: []int{0}, puts: 1},
-		"names this node":          {stored: list(one), live: list(one), checks: []int{0, 60}},
-		"names one live of two":    {stored: list(one, three), live: list(one, two), checks: []int{0}, puts: 1},
-		"names two live of three":  {stored: list(one, two), live: list(one, two, three), checks: []int{0, 60}},
-		"names another member":     {stored: list(two, three), live: list(one, two, three), checks: []int{0, 60}},
-		"names strangers":          {stored: list(three, four), live: list(one), checks: []int{0, 4}},
-		"names strangers for long": {stored: list(three, four), live: list(one), checks: []int{0, 5}, puts: 1},
-		"strangers write it":       {stored: list(three, four), live: list(one), checks: []int{0, 5, 10, 15}, renewed: true},
+		"none":                     {live: addresses(one), checks: []int{0}, puts: 1},
+		"names this node":          {stored: addresses(one), live: addresses(one), checks: []int{0, 60}},
+		"names one live of two":    {stored: addresses(one, three), live: addresses(one, two), checks: []int{0}, puts: 1},
+		"names two live of three":  {stored: addresses(one, two), live: addresses(one, two, three), checks: []int{0, 60}},
+		"names another member":     {stored: addresses(two, three), live: addresses(one, two, three), checks: []int{0, 60}},
+		"names strangers":          {stored: addresses(three, four), live: addresses(one), checks: []int{0, 4}},
+		"names strangers for long": {stored: addresses(three, four), live: addresses(one), checks: []int{0, 5}, puts: 1},
+		"strangers write it":       {stored: addresses(three, four), live: addresses(one), checks: []int{0, 5, 10, 15}, rewritten: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -75,18 +75,18 @@
 			}
 			for _, at := range c.checks {
 				now = start.Add(time.Hour + time.Duration(at)*time.Second)
-				if c.renewed {
+				if c.rewritten {
 					revision++
 				}
-				is.NoErr(s.keep(t.Context()))
+				is.NoErr(s.maintain(t.Context()))
 			}
 			is.Equal(puts, c.puts)
 		})
 	}
 }
 
-// Guards against seeds from corrupt or oversized records, and against a
-// store read when the settings name peers.
+// Guards against seeds from corrupt or oversized records, and against reading the
+// store although the settings contain peers.
 func TestSeeds(t *testing.T) {
 	is := is.New(t)
 	lists := 0
@@ -98,7 +98,7 @@
 			return persister.Listing{Objects: []persister.Object{
 				{Key: "node/z1", Value: []byte(`{"addresses":["127.0.0.1:1","127.0.0.1:2"]}`)},
 				{Key: "node/z2", Value: []byte(`{"addresses":["nonsense"]}`)},
-				{Key: "node/z3", Value: make([]byte, recordBytes+1)},
+				{Key: "node/z3", Value: make([]byte, maxRecordBytes+1)},
 			}}, nil
 		}},
 	}
