--- a/node/reporter/reporter.go
+++ b/node/reporter/reporter.go
@@ -1,5 +1,5 @@
-// Package reporter tells operators which routes have no upstream for some of
-// their calls, and since when. It does not change how calls end.
+// Package reporter logs and counts the routes that have no upstream for some or
+// all of their calls, and records since when. It does not affect calls.
 package reporter
 
 import (
@@ -17,64 +17,64 @@
 	"sycamorerun/node/router"
 )
 
-// namesMost bounds the routes that one log line names: a service can have
-// thousands of routes.
-const namesMost = 8
+// maxLoggedRoutes is the maximum number of routes in a log line, since a service
+// can have thousands of routes.
+const maxLoggedRoutes = 8
 
-// Reporter remembers the routes that are not served. Its exported fields are
-// set before use.
+// Reporter tracks the routes that are not fully served. Set its exported fields
+// before use.
 type Reporter struct {
-	// Table returns the routes in force.
+	// Table returns the active routing table.
 	Table func() *router.Table
-	// Upstreams returns the number of upstreams of a service that take calls.
+	// Upstreams returns the number of upstreams of a service that accept calls.
 	Upstreams func(service string) int
 	Logger    log.Logger
 	Scope     tally.Scope
 
 	mutex sync.Mutex
-	known map[sycamorerun.Path]gap
+	gaps  map[sycamorerun.Path]routeGap
 }
 
-// gap is a route that is not served.
-type gap struct {
+// routeGap is the state of a route that is not fully served.
+type routeGap struct {
 	state router.State
 	since time.Time
 }
 
-// messages say what the change to a state means for callers.
+// messages holds the log message for the change to each state.
 var messages = map[router.State]string{
 	router.Unserved: "routes have no upstream; their calls are not run",
 	router.Partial:  "routes have a service without an upstream; the calls drawn for it are not run",
 	router.Served:   "routes have upstreams again",
 }
 
-// Update compares the routes with those known, and logs and counts what
-// changed: one line for each state that routes came into. It reads the routes
-// and upstreams under its lock, so that of two concurrent updates the last one
-// counts. A route that left the configuration has no state to report.
+// Update finds the routes that are not fully served, updates the gauges and logs
+// one line for each state that routes changed to. It reads the routes and upstreams
+// while holding the lock, so that the later of two concurrent updates takes effect.
+// It does not report routes that were removed from the configuration.
 func (r *Reporter) Update(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	next := map[sycamorerun.Path]gap{}
+	next := map[sycamorerun.Path]routeGap{}
 	changed := map[router.State][]sycamorerun.Path{}
 	counts := map[router.State]int{}
 	table := r.Table()
 	for _, status := range table.Gaps(r.Upstreams) {
-		known, ok := r.known[status.Route]
-		if !ok || known.state != status.State {
-			known = gap{status.State, now}
+		gap, ok := r.gaps[status.Route]
+		if !ok || gap.state != status.State {
+			gap = routeGap{status.State, now}
 			changed[status.State] = append(changed[status.State], status.Route)
 		}
-		next[status.Route] = known
+		next[status.Route] = gap
 		counts[status.State]++
 	}
-	for _, path := range slices.Sorted(maps.Keys(r.known)) {
-		_, remains := next[path]
-		if _, exists := table.Status(path, r.Upstreams); exists && !remains {
+	for _, path := range slices.Sorted(maps.Keys(r.gaps)) {
+		_, stillGap := next[path]
+		if _, exists := table.Status(path, r.Upstreams); exists && !stillGap {
 			changed[router.Served] = append(changed[router.Served], path)
 		}
 	}
-	r.known = next
+	r.gaps = next
 	for _, state := range []router.State{router.Unserved, router.Partial, router.Served} {
 		r.log(state, changed[state])
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	var names []string
-	for _, path := range paths[:min(len(paths), namesMost)] {
+	for _, path := range paths[:min(len(paths), maxLoggedRoutes)] {
 		names = append(names, string(path))
 	}
 	logger := level.Warn(r.Logger)
@@ -99,11 +99,11 @@
 	logger.Log("msg", messages[state], "count", len(paths), "routes", strings.Join(names, ","))
 }
 
-// Since returns when a route came into its state; it is unknown for served
-// routes and before the first update.
+// Since returns the time since which a route has had a state. It returns false for
+// served routes and before the first update.
 func (r *Reporter) Since(path sycamorerun.Path, state router.State) (time.Time, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, ok := r.known[path]
-	return known.since, ok && known.state == state
+	gap, ok := r.gaps[path]
+	return gap.since, ok && gap.state == state
 }
