--- a/node/connector/decision_test.go
+++ b/node/connector/decision_test.go
@@ -132,6 +132,7 @@
 	}
 }
 
+// Guards against dial delays that exceed the maximum, overflow or lack jitter.
 func TestBackoff(t *testing.T) {
 	is := is.New(t)
 	maxJitter := func(n int64) int64 { return n - 1 }
