--- a/node/forwarder/frame.go
+++ b/node/forwarder/frame.go
@@ -97,8 +97,8 @@
 
 // setAwaiting tells the session whether a call waits on the stream.
 func (s *frameStream) setAwaiting(awaiting bool) {
-	if waiter, ok := s.conn.(interface{ Await(bool) }); ok {
-		waiter.Await(awaiting)
+	if waiter, ok := s.conn.(interface{ SetAwaiting(bool) }); ok {
+		waiter.SetAwaiting(awaiting)
 	}
 }
 
