--- a/node/acceptor/acceptor.go
+++ b/node/acceptor/acceptor.go
@@ -35,9 +35,9 @@
 	Current func() sycamorerun.Tree
 	// Entry returns a log entry that this node still has.
 	Entry func(sycamorerun.Version) (sycamorerun.Entry, bool)
-	// Learn is told each entry that the acceptor committed or read. It must
+	// OnEntry is told each entry that the acceptor committed or read. It must
 	// not wait for a call of the acceptor.
-	Learn    func(now time.Time, entry sycamorerun.Entry)
+	OnEntry  func(now time.Time, entry sycamorerun.Entry)
 	Now      func() time.Time
 	Validate func(sycamorerun.Tree) []sycamorerun.Fault
 	Patience time.Duration
@@ -73,7 +73,7 @@
 		Store:    store,
 		Current:  func() sycamorerun.Tree { return sycamorerun.Tree{} },
 		Entry:    func(sycamorerun.Version) (sycamorerun.Entry, bool) { return sycamorerun.Entry{}, false },
-		Learn:    func(time.Time, sycamorerun.Entry) {},
+		OnEntry:  func(time.Time, sycamorerun.Entry) {},
 		Now:      time.Now,
 		Validate: func(sycamorerun.Tree) []sycamorerun.Fault { return nil },
 		Patience: DefaultPatience,
--- a/node/acceptor/head.go
+++ b/node/acceptor/head.go
@@ -250,7 +250,7 @@
 	a.history.add(entry)
 	a.head = tree
 	a.verified = true
-	a.Learn(a.Now(), entry)
+	a.OnEntry(a.Now(), entry)
 }
 
 // view returns the head for a decision.
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -183,7 +183,7 @@
 	a := acceptor.New(n.store)
 	a.Current = func() sycamorerun.Tree { return n.applier.Current().Tree }
 	a.Entry = n.distributor.Entry
-	a.Learn = n.distributor.ApplyCommitted
+	a.OnEntry = n.distributor.ApplyCommitted
 	a.Owned = n.document != nil
 	checker := &validator.Checker{}
 	a.Validate = func(tree sycamorerun.Tree) []sycamorerun.Fault { return checker.Check(tree.Items) }
