--- a/node/acceptor/acceptor.go
+++ b/node/acceptor/acceptor.go
@@ -41,11 +41,11 @@
 	Now      func() time.Time
 	Validate func(sycamorerun.Tree) []sycamorerun.Fault
 	Patience time.Duration
-	// Owned is set when operators write the configuration as one document.
+	// ExternallyManaged is set when operators write the configuration as one document.
 	// Every change is refused then, and the log is not read.
-	Owned  bool
-	Logger log.Logger
-	Scope  tally.Scope
+	ExternallyManaged bool
+	Logger            log.Logger
+	Scope             tally.Scope
 
 	queue chan *job
 	// busy is held by whoever uses the fields below; a channel lets a waiting
@@ -91,7 +91,7 @@
 	if change.ID == "" || len(change.ID) > MaxID || change.ID == change.Proposal {
 		return refuse(change.ID, "bad-id", "", "the id must have 1 to %d characters and differ from the proposal's", MaxID)
 	}
-	if a.Owned {
+	if a.ExternallyManaged {
 		return refuse(change.ID, CodeOwned, "", "the configuration is owned by the operators' document")
 	}
 	j := &job{ctx: ctx, request: Request{Change: change}, done: make(chan sycamorerun.Outcome, 1), start: a.Now()}
@@ -112,7 +112,7 @@
 // Lookup returns how the change with id ended, from the entries of the ring
 // and the proposals of every team under review. Find is cheaper.
 func (a *Acceptor) Lookup(ctx context.Context, id string) sycamorerun.Outcome {
-	if a.Owned {
+	if a.ExternallyManaged {
 		return unknown(id, errNoChange)
 	}
 	if err := a.acquire(ctx); err != nil {
--- a/node/acceptor/owned_test.go
+++ b/node/acceptor/owned_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	a := New(newFake().store())
 	a.Store.Get, a.Store.List, a.Store.Put = nil, nil, nil // a call would panic
-	a.Owned = true
+	a.ExternallyManaged = true
 	outcome := a.Submit(t.Context(), apply("one", "flow", 6))
 	is.Equal(outcome.Status, sycamorerun.StatusRefused)
 	is.Equal(outcome.Faults[0].Code, CodeOwned)
--- a/node/acceptor/proposal.go
+++ b/node/acceptor/proposal.go
@@ -69,7 +69,7 @@
 // Proposals returns the team's proposals under review, oldest first by
 // revision. It removes those that are too old or already decided.
 func (a *Acceptor) Proposals(ctx context.Context, team string) ([]Proposal, error) {
-	if a.Owned {
+	if a.ExternallyManaged {
 		return nil, nil
 	}
 	if err := a.acquire(ctx); err != nil {
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -184,7 +184,7 @@
 	a.Current = func() sycamorerun.Tree { return n.applier.Current().Tree }
 	a.Entry = n.distributor.Entry
 	a.OnEntry = n.distributor.ApplyCommitted
-	a.Owned = n.document != nil
+	a.ExternallyManaged = n.document != nil
 	checker := &validator.Checker{}
 	a.Validate = func(tree sycamorerun.Tree) []sycamorerun.Fault { return checker.Check(tree.Items) }
 	a.Logger, a.Scope = n.logger, n.scope
