--- a/node/acceptor/acceptor.go
+++ b/node/acceptor/acceptor.go
@@ -164,15 +164,15 @@
 // belongs to the operators' document.
 const CodeOwned = "owned-elsewhere"
 
-// CodeNoChange is the code of a look-up that found nothing.
-const CodeNoChange = "no-such-change"
+// CodeNoSuchChange is the code of a look-up that found nothing.
+const CodeNoSuchChange = "no-such-change"
 
 // unknown is the outcome while the store or the queue keeps the acceptor from
 // deciding. The change may have been accepted, here or at another node.
 func unknown(id string, err error) sycamorerun.Outcome {
 	code := "not-decided"
 	if errors.Is(err, errNoChange) {
-		code = CodeNoChange
+		code = CodeNoSuchChange
 	}
 	return sycamorerun.Outcome{
 		ID: id, Status: sycamorerun.StatusUnknown, Retry: retryAfter,
--- a/node/acceptor/owned_test.go
+++ b/node/acceptor/owned_test.go
@@ -18,7 +18,7 @@
 	outcome := a.Submit(t.Context(), apply("one", "flow", 6))
 	is.Equal(outcome.Status, sycamorerun.StatusRefused)
 	is.Equal(outcome.Faults[0].Code, CodeOwned)
-	is.Equal(a.Lookup(t.Context(), "one").Faults[0].Code, CodeNoChange)
+	is.Equal(a.Lookup(t.Context(), "one").Faults[0].Code, CodeNoSuchChange)
 	proposals, err := a.Proposals(t.Context(), "flow")
 	is.NoErr(err)
 	is.Equal(len(proposals), 0)
--- a/node/runner/operators.go
+++ b/node/runner/operators.go
@@ -69,7 +69,7 @@
 func (n *node) lookup(ctx context.Context, id string) (sycamorerun.Outcome, bool) {
 	outcome := n.acceptor.Lookup(ctx, id)
 	missing := outcome.Status == sycamorerun.StatusUnknown && len(outcome.Faults) > 0 &&
-		outcome.Faults[0].Code == acceptor.CodeNoChange
+		outcome.Faults[0].Code == acceptor.CodeNoSuchChange
 	return outcome, !missing
 }
 
