--- a/persister/caller.go
+++ b/persister/caller.go
@@ -38,8 +38,8 @@
 	// empty.
 	Header      http.Header
 	ContentType string
-	// AnswerBytes bounds an answer.
-	AnswerBytes int
+	// MaxResponseBytes bounds an answer.
+	MaxResponseBytes int
 	// Done are the statuses of success beside 200.
 	Done []int
 }
@@ -75,12 +75,12 @@
 		return lost(call.write() && connected.Load(), err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, int64(c.AnswerBytes)+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, int64(c.MaxResponseBytes)+1))
 	if !c.done(response.StatusCode) {
 		return refused(call, response.StatusCode, body)
 	}
-	if err == nil && len(body) > c.AnswerBytes {
-		err = errors.Errorf("answer above %d bytes", c.AnswerBytes)
+	if err == nil && len(body) > c.MaxResponseBytes {
+		err = errors.Errorf("answer above %d bytes", c.MaxResponseBytes)
 	}
 	if err == nil && result != nil {
 		err = json.Unmarshal(body, result)
