--- a/persister/caller.go
+++ b/persister/caller.go
@@ -40,8 +40,8 @@
 	ContentType string
 	// MaxResponseBytes bounds an answer.
 	MaxResponseBytes int
-	// Done are the statuses of success beside 200.
-	Done []int
+	// SuccessStatuses are the statuses of success beside 200.
+	SuccessStatuses []int
 }
 
 // outcomes are the statuses with a meaning of their own. 429 and 503 promise
@@ -92,7 +92,7 @@
 }
 
 func (c *Caller) done(status int) bool {
-	return status == http.StatusOK || slices.Contains(c.Done, status)
+	return status == http.StatusOK || slices.Contains(c.SuccessStatuses, status)
 }
 
 func (c *Caller) request(ctx context.Context, call Call) (*http.Request, error) {
