--- a/persister/caller.go
+++ b/persister/caller.go
@@ -29,9 +29,9 @@
 // write reports whether the call can have an effect.
 func (c Call) write() bool { return c.Method != http.MethodGet }
 
-// Caller makes calls of a store and tells their outcomes apart. Its fields are
+// HTTPClient makes calls of a store and tells their outcomes apart. Its fields are
 // set before the first call.
-type Caller struct {
+type HTTPClient struct {
 	Address netip.AddrPort
 	HTTP    *http.Client
 	// Header is sent with each call, ContentType with each body unless it is
@@ -57,7 +57,7 @@
 }
 
 // Do makes one call and decodes its answer into result unless that is nil.
-func (c *Caller) Do(ctx context.Context, call Call, result any) error {
+func (c *HTTPClient) Do(ctx context.Context, call Call, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
 	// Before the transport has a connection nothing can have been sent. From
@@ -91,11 +91,11 @@
 	return nil
 }
 
-func (c *Caller) done(status int) bool {
+func (c *HTTPClient) done(status int) bool {
 	return status == http.StatusOK || slices.Contains(c.SuccessStatuses, status)
 }
 
-func (c *Caller) request(ctx context.Context, call Call) (*http.Request, error) {
+func (c *HTTPClient) request(ctx context.Context, call Call) (*http.Request, error) {
 	var body io.Reader
 	if call.Body != nil {
 		data, err := json.Marshal(call.Body)
--- a/persister/client.go
+++ b/persister/client.go
@@ -57,7 +57,7 @@
 		c.Wait = DefaultWait
 	}
 	dialer := &net.Dialer{Timeout: c.Timeout, KeepAlive: probe}
-	c.caller = Caller{Address: c.Address, MaxResponseBytes: answerLimit, HTTP: &http.Client{
+	c.caller = HTTPClient{Address: c.Address, MaxResponseBytes: answerLimit, HTTP: &http.Client{
 		Transport: &http.Transport{
 			DialContext:            dialer.DialContext,
 			MaxIdleConnsPerHost:    idleConns,
@@ -77,7 +77,7 @@
 type client struct {
 	ClientConfig
 	listLimit int
-	caller    Caller
+	caller    HTTPClient
 }
 
 func (c *client) get(ctx context.Context, key string) (Object, error) {
