--- a/node/acceptor/bench_test.go
+++ b/node/acceptor/bench_test.go
@@ -12,18 +12,18 @@
 	"sycamorerun/persister"
 )
 
-// BenchmarkCommit measures the cost of a change by batch and tree, without
-// validation. With SYCAMORERUN_STORE, the address of an empty srstore without
-// rate limits, it runs over HTTP.
+// BenchmarkCommit measures the cost of a change by batch size and tree size, without
+// validation. If SYCAMORERUN_STORE is the address of an empty srstore without rate
+// limits, the benchmark uses that store over HTTP.
 func BenchmarkCommit(b *testing.B) {
 	for _, teams := range []int{10, 400} {
 		for _, size := range []int{1, 8, MaxBatch} {
-			b.Run(fmt.Sprintf("teams=%d/batch=%d", teams, size), func(b *testing.B) { commit(b, teams, size) })
+			b.Run(fmt.Sprintf("teams=%d/batch=%d", teams, size), func(b *testing.B) { benchmarkCommit(b, teams, size) })
 		}
 	}
 }
 
-func commit(b *testing.B, teams, size int) {
+func benchmarkCommit(b *testing.B, teams, size int) {
 	f := newFake()
 	a := New(f.store())
 	if address := os.Getenv("SYCAMORERUN_STORE"); address != "" {
@@ -33,7 +33,7 @@
 		for i := range changes {
 			changes[i].ID = uuid.NewString()
 		}
-		for _, outcome := range serve(b, a, changes...) {
+		for _, outcome := range commitAll(b, a, changes...) {
 			if outcome.Status != sycamorerun.StatusAccepted {
 				b.Fatal(outcome)
 			}
@@ -45,14 +45,14 @@
 	}
 	submit([]sycamorerun.Change{admin})
 	for team := range teams {
-		submit([]sycamorerun.Change{settings(team, 0)})
+		submit([]sycamorerun.Change{settingsChange(team, 0)})
 	}
 	f.calls, f.bytes = map[string]int{}, 0
 	b.ResetTimer()
 	for n := 0; n < b.N; n += size {
 		var changes []sycamorerun.Change
 		for i := range min(size, b.N-n) {
-			changes = append(changes, settings((n+i)%teams, n+i))
+			changes = append(changes, settingsChange((n+i)%teams, n+i))
 		}
 		submit(changes)
 	}
@@ -64,9 +64,9 @@
 	}
 }
 
-// settings is a team's subtree of one service and four routes, of which round
-// changes one item.
-func settings(team, round int) sycamorerun.Change {
+// settingsChange returns a change to a subtree of one service and four routes. Only
+// the service depends on round.
+func settingsChange(team, round int) sycamorerun.Change {
 	name := fmt.Sprint("team-", team)
 	change := apply("", name, 6+round%8)
 	for i := range 4 {
--- a/node/acceptor/commit.go
+++ b/node/acceptor/commit.go
@@ -14,10 +14,10 @@
 	"sycamorerun/persister"
 )
 
-// Bounds of the wait between two attempts while the store fails.
+// Bounds of the exponential delay between commit attempts while the store fails.
 const (
-	firstDelay = 20 * time.Millisecond
-	lastDelay  = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
 // Run commits queued changes until ctx ends.
@@ -25,26 +25,26 @@
 	for {
 		select {
 		case <-ctx.Done():
-			for batch := a.gather(nil); len(batch) > 0; batch = a.gather(nil) {
-				a.abandon(batch, ctx.Err())
+			for batch := a.collectBatch(nil); len(batch) > 0; batch = a.collectBatch(nil) {
+				a.failBatch(batch, ctx.Err())
 			}
 			return nil
 		case first := <-a.queue:
-			a.serve(ctx, a.gather(first))
+			a.commitBatch(ctx, a.collectBatch(first))
 		}
 	}
 }
 
-// gather returns first and the changes that wait behind it, without those
-// whose submitter gave up.
-func (a *Acceptor) gather(first *job) []*job {
-	var batch []*job
-	for j := first; len(batch) < MaxBatch; {
-		if j != nil && j.ctx.Err() == nil {
-			batch = append(batch, j)
+// collectBatch returns first and the changes queued after it. It drops the
+// changes whose context has ended.
+func (a *Acceptor) collectBatch(first *submission) []*submission {
+	var batch []*submission
+	for s := first; len(batch) < MaxBatch; {
+		if s != nil && s.ctx.Err() == nil {
+			batch = append(batch, s)
 		}
 		select {
-		case j = <-a.queue:
+		case s = <-a.queue:
 		default:
 			return batch
 		}
@@ -52,59 +52,60 @@
 	return batch
 }
 
-func (a *Acceptor) abandon(jobs []*job, err error) {
-	for _, j := range jobs {
-		j.done <- unknown(j.request.Change.ID, err)
+// failBatch reports an unknown outcome to the submitters of batch.
+func (a *Acceptor) failBatch(batch []*submission, err error) {
+	for _, s := range batch {
+		s.result <- unknownOutcome(s.request.Change.ID, err)
 	}
 }
 
-// serve commits a batch, in several entries when it does not fit one.
-func (a *Acceptor) serve(ctx context.Context, batch []*job) {
+// commitBatch commits a batch, in several entries if it does not fit one.
+func (a *Acceptor) commitBatch(ctx context.Context, batch []*submission) {
 	if err := a.acquire(ctx); err != nil {
-		a.abandon(batch, err)
+		a.failBatch(batch, err)
 		return
 	}
 	defer a.release()
 	for len(batch) > 0 {
-		rest, err := a.persist(ctx, batch)
+		remaining, err := a.commitWithRetries(ctx, batch)
 		if err != nil {
-			a.warn("changes not committed", err)
-			a.abandon(batch, err)
+			a.warn("commit failed; the outcome of its changes is unknown", err)
+			a.failBatch(batch, err)
 			return
 		}
-		batch = rest
+		batch = remaining
 	}
-	if err := a.keepSnapshot(ctx); err != nil {
-		a.warn("snapshot not written", err)
+	if err := a.writeSnapshotIfDue(ctx); err != nil {
+		a.warn("writing the snapshot failed; the next commit retries it", err)
 	}
 }
 
-// persist attempts a commit until it succeeds or the patience is over, and
-// returns the changes that did not fit.
-func (a *Acceptor) persist(ctx context.Context, batch []*job) ([]*job, error) {
-	deadline, delay := a.Now().Add(a.Patience), firstDelay
-	t := &try{jobs: batch}
+// commitWithRetries attempts a commit until it succeeds or CommitTimeout is
+// over. It returns the changes that did not fit the entry.
+func (a *Acceptor) commitWithRetries(ctx context.Context, batch []*submission) ([]*submission, error) {
+	deadline, delay := a.Now().Add(a.CommitTimeout), minRetryDelay
+	state := &batchState{submissions: batch}
 	for {
 		before := a.head.Version
-		rest, err := a.attempt(ctx, t)
+		remaining, err := a.attemptCommit(ctx, state)
 		if err == nil {
-			return rest, nil
+			return remaining, nil
 		}
-		if errors.Is(err, errPassed) || ctx.Err() != nil || !a.Now().Before(deadline) {
+		if errors.Is(err, errSlotReused) || ctx.Err() != nil || !a.Now().Before(deadline) {
 			return nil, err
 		}
-		// A conflict without a newer version comes from a stale read: trying
-		// again at once would only load the store.
+		// A conflict without a newer version comes from a stale read. An
+		// immediate retry would only load the store.
 		if errors.Is(err, persister.ErrConflict) && a.head.Version > before {
-			_ = level.Debug(a.Logger).Log("msg", "another acceptor won", "version", a.head.Version+1)
+			_ = level.Debug(a.Logger).Log("msg", "another acceptor committed this version; retrying", "version", a.head.Version+1)
 			continue
 		}
-		_ = level.Debug(a.Logger).Log("msg", "commit attempt failed", "version", a.head.Version+1, "err", err)
-		// Half of the delay is random so that acceptors do not retry together.
+		_ = level.Debug(a.Logger).Log("msg", "commit attempt failed; retrying after a delay", "version", a.head.Version+1, "err", err)
+		// Half of the delay is random so that acceptors do not retry in step.
 		if err := sleep(ctx, delay/2+rand.N(delay/2)); err != nil {
 			return nil, err
 		}
-		delay = min(2*delay, lastDelay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
@@ -119,77 +120,80 @@
 	}
 }
 
-// try is a batch and the version at which it was first written.
-type try struct {
-	jobs    []*job
-	written sycamorerun.Version
+// batchState is a batch and the version that its first write was for, zero before
+// that write.
+type batchState struct {
+	submissions  []*submission
+	firstVersion sycamorerun.Version
 }
 
-// errPassed means that the ring went round while a write's outcome was open.
-var errPassed = errors.New("the log has moved past the entry that may hold the change")
+// errSlotReused means that the ring wrapped around while the outcome of a write
+// was unknown.
+var errSlotReused = errors.New("the ring slot that may have held the change has been reused")
 
-// attempt commits as much of the batch as fits one entry. A lost answer needs
-// no step of its own: the next attempt reads the slot first, and the ids in it
-// tell which changes were accepted.
-func (a *Acceptor) attempt(ctx context.Context, t *try) ([]*job, error) {
-	at, err := a.locate(ctx)
+// attemptCommit commits as many changes of the batch as fit one entry. A lost
+// response needs no special handling: the next attempt reads the slot first and
+// learns from the ids in it which changes were accepted.
+func (a *Acceptor) attemptCommit(ctx context.Context, state *batchState) ([]*submission, error) {
+	nextSlot, err := a.syncHead(ctx)
 	if err != nil {
 		return nil, err
 	}
 	next := a.head.Version + 1
-	// After a whole round the ids of the first write are no longer in the
-	// ring, so that writing the changes again might accept them twice.
-	if t.written != 0 && next >= t.written+persister.RingSlots {
-		return nil, errPassed
+	// Once the ring has wrapped around, it no longer holds the ids of the first
+	// write, so writing the changes again might accept them twice.
+	if state.firstVersion != 0 && next >= state.firstVersion+persister.RingSlots {
+		return nil, errSlotReused
 	}
-	for _, j := range t.jobs {
-		if err := a.prepare(ctx, j); err != nil {
+	for _, s := range state.submissions {
+		if err := a.prepare(ctx, s); err != nil {
 			return nil, err
 		}
 	}
-	plan := a.plan(t.jobs)
+	plan := a.plan(state.submissions)
 	if len(plan.entry.Changes) > 0 {
-		if err := a.cover(ctx, next); err != nil {
+		if err := a.ensureSnapshotCovers(ctx, next); err != nil {
 			return nil, err
 		}
-		if t.written == 0 {
-			t.written = next
+		if state.firstVersion == 0 {
+			state.firstVersion = next
 		}
-		if _, err := a.Store.Put(ctx, persister.LogKey(next), plan.value, at.revision); err != nil {
+		if _, err := a.Store.Put(ctx, persister.LogKey(next), plan.value, nextSlot.revision); err != nil {
 			return nil, err
 		}
-		a.adopt(plan.entry, plan.tree)
+		a.advanceHead(plan.entry, plan.tree)
 		_ = level.Info(a.Logger).Log("msg", "version accepted", "version", next, "changes", len(plan.entry.Changes), "bytes", len(plan.value))
-	} else if plan.fresh() {
-		if err := a.fence(ctx, at); err != nil {
+	} else if plan.dependsOnHead() {
+		if err := a.confirmSlot(ctx, nextSlot); err != nil {
 			return nil, err
 		}
 	}
-	a.finish(ctx, t.jobs, plan)
-	return t.jobs[len(plan.verdicts):], nil
+	a.deliverOutcomes(ctx, state.submissions, plan)
+	return state.submissions[len(plan.verdicts):], nil
 }
 
-// prepare reads what the decision on a change needs from the store. Both
-// answers stay valid when the head moves on.
-func (a *Acceptor) prepare(ctx context.Context, j *job) (err error) {
-	if j.prepared {
+// prepare reads from the store what the decision on a change needs. The result
+// stays valid when the head advances, so it is read only once.
+func (a *Acceptor) prepare(ctx context.Context, s *submission) (err error) {
+	if s.prepared {
 		return nil
 	}
-	change := j.request.Change
-	if _, done := a.history.ids[change.ID]; done {
+	change := s.request.Change
+	if _, recorded := a.history.byID[change.ID]; recorded {
 		return nil
 	}
 	switch change.Kind {
 	case sycamorerun.Revert:
-		j.request.Target, err = a.subtreeAt(ctx, change.Team, change.Target)
+		s.request.Target, err = a.subtreeAt(ctx, change.Team, change.Target)
 	case sycamorerun.Approve, sycamorerun.Reject:
-		j.request.Proposal, err = a.fetch(ctx, change.Team, change.Proposal)
+		s.request.Proposal, err = a.readProposal(ctx, change.Team, change.Proposal)
 	}
-	j.prepared = err == nil
+	s.prepared = err == nil
 	return err
 }
 
-// plan is an entry that is ready to be written and the verdicts behind it.
+// plan is an entry that is ready to be written, with the verdicts that it results
+// from.
 type plan struct {
 	verdicts []Verdict
 	entry    sycamorerun.Entry
@@ -197,17 +201,17 @@
 	value    []byte
 }
 
-// fresh reports whether a verdict depends on the head being the newest version.
-func (p plan) fresh() bool {
-	return slices.ContainsFunc(p.verdicts, func(verdict Verdict) bool { return !verdict.Known })
+// dependsOnHead reports whether a verdict depends on the head being the newest version.
+func (p plan) dependsOnHead() bool {
+	return slices.ContainsFunc(p.verdicts, func(verdict Verdict) bool { return !verdict.AlreadyDecided })
 }
 
-// plan decides on as many of the jobs, from the first on, as fit one entry. A
+// plan decides on as many submissions, from the first on, as fit one entry. A
 // single change that does not fit is refused.
-func (a *Acceptor) plan(jobs []*job) plan {
+func (a *Acceptor) plan(batch []*submission) plan {
 	now := a.Now()
-	for n := len(jobs); ; n /= 2 {
-		p := a.decide(now, jobs[:n])
+	for n := len(batch); ; n /= 2 {
+		p := a.decide(now, batch[:n])
 		if len(p.entry.Changes) == 0 {
 			return p
 		}
@@ -216,36 +220,37 @@
 			return p
 		}
 		if n == 1 {
-			change := jobs[0].request.Change
+			change := batch[0].request.Change
 			return plan{verdicts: []Verdict{{Outcome: refuse(change.ID, "too-large", change.Team, "%v", err)}}}
 		}
 	}
 }
 
-// decide applies the rules to the jobs one after the other.
-func (a *Acceptor) decide(now time.Time, jobs []*job) plan {
+// decide applies the rules to each submission in order, on the result of those
+// before it.
+func (a *Acceptor) decide(now time.Time, batch []*submission) plan {
 	rules := Rules{Validate: a.Validate}
 	view := a.view()
 	next := a.head.Version + 1
-	here := map[string]sycamorerun.Outcome{}
-	logged := view.Decided
+	batchOutcomes := map[string]sycamorerun.Outcome{}
+	loggedOutcome := view.Decided
 	view.Decided = func(id string) (sycamorerun.Outcome, bool) {
-		if outcome, ok := here[id]; ok {
+		if outcome, ok := batchOutcomes[id]; ok {
 			return outcome, true
 		}
-		return logged(id)
+		return loggedOutcome(id)
 	}
 	p := plan{entry: sycamorerun.Entry{Version: next, Time: now.UTC()}}
-	for _, j := range jobs {
-		verdict := rules.Decide(now, view, j.request)
+	for _, s := range batch {
+		verdict := rules.Decide(now, view, s.request)
 		p.verdicts = append(p.verdicts, verdict)
 		if len(verdict.Records) == 0 {
 			continue
 		}
-		mark(view.Changed, next, verdict.Difference)
+		markChanged(view.LastChanged, next, verdict.Difference)
 		view.Tree.Items = verdict.Items
 		for _, record := range verdict.Records {
-			here[record.ID] = decided{version: next, rejected: record.Kind == Rejected}.outcome(record.ID)
+			batchOutcomes[record.ID] = recordedChange{version: next, rejected: record.Kind == Rejected}.outcome(record.ID)
 		}
 		p.entry.Changes = append(p.entry.Changes, verdict.Records...)
 	}
@@ -257,16 +262,17 @@
 	return p
 }
 
-// finish stores proposals and tells the submitters.
-func (a *Acceptor) finish(ctx context.Context, jobs []*job, p plan) {
+// deliverOutcomes stores new proposals, removes decided ones and sends the
+// outcomes to the submitters.
+func (a *Acceptor) deliverOutcomes(ctx context.Context, batch []*submission, p plan) {
 	for i, verdict := range p.verdicts {
 		outcome := verdict.Outcome
 		if verdict.Proposal != nil {
-			outcome = a.propose(ctx, *verdict.Proposal)
+			outcome = a.storeProposal(ctx, *verdict.Proposal)
 		}
-		jobs[i].done <- outcome
-		if proposal := jobs[i].request.Proposal; proposal != nil && len(verdict.Records) > 0 {
-			a.remove(ctx, *proposal)
+		batch[i].result <- outcome
+		if proposal := batch[i].request.Proposal; proposal != nil && len(verdict.Records) > 0 {
+			a.removeProposal(ctx, *proposal)
 		}
 	}
 }
--- a/node/acceptor/commit_test.go
+++ b/node/acceptor/commit_test.go
@@ -44,7 +44,7 @@
 			t.Parallel()
 			is := is.New(t)
 			f := newFake()
-			a := run(t, f.store())
+			a := startAcceptor(t, f.store())
 			is.Equal(a.Submit(t.Context(), bootstrap()).Version, sycamorerun.Version(1))
 			f.setFault(test.operation, test.key, test.count, test.err, test.effect)
 			outcome := a.Submit(t.Context(), apply("one", "flow", 6))
@@ -54,8 +54,9 @@
 				is.Equal(outcome.Version, sycamorerun.Version(2))
 				is.Equal(a.Lookup(t.Context(), "one"), outcome)
 			}
-			// The same id through another node, and another change behind it.
-			b := run(t, f.store())
+			// Another node reports the same version for the id, and a later change
+			// is still accepted.
+			b := startAcceptor(t, f.store())
 			again := b.Submit(t.Context(), apply("one", "flow", 6))
 			is.Equal(again.Version, sycamorerun.Version(2))
 			is.Equal(a.Submit(t.Context(), apply("two", "flow", 7)).Version, sycamorerun.Version(3))
@@ -64,12 +65,12 @@
 	}
 }
 
-// Guards against reporting an outcome as final when the answers to a write and
-// to all reads after it are lost.
+// Guards against reporting a final outcome when the response to a write is lost and
+// all reads after it fail.
 func TestUnknownThenFound(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	a := run(t, f.store())
+	a := startAcceptor(t, f.store())
 	a.Submit(t.Context(), bootstrap())
 	written := false
 	f.fault = func(operation, _ string) (error, bool) {
@@ -87,15 +88,15 @@
 	is.True(outcome.Retry > 0)
 	f.setFault("", "", 0, nil, true)
 	is.Equal(a.Lookup(t.Context(), "one").Version, sycamorerun.Version(2))
-	is.Equal(code(a.Lookup(t.Context(), "never")), "no-such-change")
+	is.Equal(firstFaultCode(a.Lookup(t.Context(), "never")), "no-such-change")
 }
 
 // Guards against a change that is lost or reported as refused when the store
-// answers after its submitter gave up.
+// responds after the submitter's context has ended.
 func TestSlowStore(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	a := run(t, f.store())
+	a := startAcceptor(t, f.store())
 	a.Submit(t.Context(), bootstrap())
 	f.mu.Lock()
 	f.fault = func(string, string) (error, bool) { time.Sleep(40 * time.Millisecond); return nil, true }
@@ -106,12 +107,12 @@
 	is.Equal(a.Lookup(t.Context(), "one").Version, sycamorerun.Version(2))
 }
 
-// Guards against a stale slot that makes an acceptor give up, overwrite a newer
-// entry or load the store with attempts that can't succeed.
+// Guards against stale reads of a slot. They must not make an acceptor stop for
+// good, overwrite a newer entry or flood the store with attempts that can't succeed.
 func TestStaleReads(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	a, b := run(t, f.store()), run(t, f.store())
+	a, b := startAcceptor(t, f.store()), startAcceptor(t, f.store())
 	a.Submit(t.Context(), bootstrap())
 	b.Submit(t.Context(), apply("b", "other", 1))
 	f.setFault("get", "log/0002", 1<<30, persister.ErrMissing, false)
@@ -123,16 +124,16 @@
 	verifyLog(t, f, 3)
 }
 
-// Guards against a refusal that follows from a stale read, for a change that
-// has been accepted since.
+// Guards against refusing a change because of a stale read when another acceptor has
+// accepted it since.
 func TestStaleRefusal(t *testing.T) {
-	for name, round := range map[string]int{"first round": 0, "later": persister.RingSlots} {
+	for name, versions := range map[string]int{"first round": 0, "later": persister.RingSlots} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFake()
-			b := run(t, f.store())
+			b := startAcceptor(t, f.store())
 			b.Submit(t.Context(), bootstrap())
-			for i := range round {
+			for i := range versions {
 				b.Submit(t.Context(), apply(fmt.Sprint(i), "other", i))
 			}
 			hold := b.Submit(t.Context(), sycamorerun.Change{ID: "hold", Kind: sycamorerun.Place, Team: "flow"})
@@ -147,8 +148,8 @@
 				}
 				return get(ctx, k)
 			}
-			a := run(t, store)
-			a.Patience = time.Minute
+			a := startAcceptor(t, store)
+			a.CommitTimeout = time.Minute
 			is.Equal(a.Lookup(t.Context(), "hold"), hold)
 			stale = 3
 			b.Submit(t.Context(), sycamorerun.Change{ID: "release", Kind: sycamorerun.Release, Team: "flow"})
@@ -156,22 +157,22 @@
 			is.Equal(accepted.Version, hold.Version+2)
 			is.Equal(a.Submit(t.Context(), apply("one", "flow", 1)), accepted)
 			is.Equal(stale, 0)
-			// A refusal that is true changes nothing in the log.
-			is.Equal(code(a.Submit(t.Context(), apply("two", "nobody", 1))), "no-such-team")
+			// A justified refusal does not change the log.
+			is.Equal(firstFaultCode(a.Submit(t.Context(), apply("two", "nobody", 1))), "no-such-team")
 			is.Equal(b.Submit(t.Context(), apply("three", "flow", 1)).Version, hold.Version+3)
 			is.Equal(f.entry(t, hold.Version+2).Version, hold.Version+2)
 		})
 	}
 }
 
-// Guards against two acceptors that both win a version, lose a change or
-// accept an id twice.
+// Guards against concurrent acceptors that commit the same version twice, lose a
+// change or accept an id twice.
 func TestRacingAcceptors(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	nodes := []*Acceptor{run(t, f.store()), run(t, f.store()), run(t, f.store())}
+	nodes := []*Acceptor{startAcceptor(t, f.store()), startAcceptor(t, f.store()), startAcceptor(t, f.store())}
 	for _, a := range nodes {
-		a.Patience = 10 * time.Second
+		a.CommitTimeout = 10 * time.Second
 	}
 	nodes[0].Submit(t.Context(), bootstrap())
 	const changes = 60
@@ -180,7 +181,7 @@
 	for n, a := range nodes {
 		for i := range changes {
 			wait.Go(func() {
-				// Every id is submitted through all nodes.
+				// Each id is submitted to all nodes.
 				outcomes[n][i] = a.Submit(t.Context(), apply(fmt.Sprint("id-", i), "flow", i))
 			})
 		}
@@ -200,51 +201,51 @@
 	}
 }
 
-// Guards against an acceptor that was paused before its write, wakes up after
-// the ring has gone round and overwrites a newer entry or repeats a change.
+// Guards against an acceptor that is paused before its write, resumes after the ring
+// has wrapped around, and overwrites a newer entry or commits a change twice.
 func TestPausedAcceptor(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	paused, wake := make(chan struct{}), make(chan struct{})
+	paused, resume := make(chan struct{}), make(chan struct{})
 	store := f.store()
 	put, once := store.Put, sync.Once{}
 	store.Put = func(ctx context.Context, key string, value []byte, expected persister.Revision) (persister.Revision, error) {
-		once.Do(func() { close(paused); <-wake })
+		once.Do(func() { close(paused); <-resume })
 		return put(ctx, key, value, expected)
 	}
-	b := run(t, f.store())
+	b := startAcceptor(t, f.store())
 	b.Submit(t.Context(), bootstrap())
-	a := run(t, store)
-	a.Patience = time.Minute // the ring, not the clock, has to stop the attempts
+	a := startAcceptor(t, store)
+	a.CommitTimeout = time.Minute // the reused slot, not the timeout, must end the attempts
 	result := make(chan sycamorerun.Outcome)
 	go func() { result <- a.Submit(t.Context(), apply("paused", "flow", 1)) }()
 	<-paused
-	const round = persister.RingSlots + 10
-	for i := range round {
+	const versions = persister.RingSlots + 10
+	for i := range versions {
 		is.Equal(b.Submit(t.Context(), apply(fmt.Sprint(i), "other", i)).Status, sycamorerun.StatusAccepted)
 	}
-	close(wake)
+	close(resume)
 	is.Equal((<-result).Status, sycamorerun.StatusUnknown)
 	is.Equal(f.entry(t, 2).Version, sycamorerun.Version(2+persister.RingSlots))
-	// The acceptor goes on from the snapshot.
+	// The acceptor continues from the snapshot.
 	outcome := a.Submit(t.Context(), apply("next", "flow", 2))
-	is.Equal(outcome.Version, sycamorerun.Version(round+2))
-	is.Equal(a.head.Items["other/service/desk"], apply("", "other", round-1).Items["other/service/desk"])
-	is.Equal(a.history.first, sycamorerun.Version(round+2-persister.RingSlots+1))
-	is.Equal(len(a.history.ids), persister.RingSlots)
-	// A node that starts now needs a few calls, not one for each version.
+	is.Equal(outcome.Version, sycamorerun.Version(versions+2))
+	is.Equal(a.head.Items["other/service/desk"], apply("", "other", versions-1).Items["other/service/desk"])
+	is.Equal(a.history.first, sycamorerun.Version(versions+2-persister.RingSlots+1))
+	is.Equal(len(a.history.byID), persister.RingSlots)
+	// A node that starts now needs a few reads, not one for each version.
 	before := f.calls["get"]
-	is.Equal(run(t, f.store()).Lookup(t.Context(), "next"), outcome)
+	is.Equal(startAcceptor(t, f.store()).Lookup(t.Context(), "next"), outcome)
 	is.True(f.calls["get"]-before < 10)
 }
 
-// Guards against ring slots that are overwritten before the snapshot covers
-// them, when writers stop between the commit and the snapshot.
+// Guards against overwriting ring slots that no snapshot covers yet, when acceptors
+// stop between the commit and the snapshot.
 func TestSnapshotCoversRing(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	a := run(t, f.store())
-	a.Patience = 30 * time.Millisecond
+	a := startAcceptor(t, f.store())
+	a.CommitTimeout = 30 * time.Millisecond
 	a.Submit(t.Context(), bootstrap())
 	f.setFault("put", persister.SnapshotKey, 1<<30, persister.ErrUnavailable, false)
 	for i := 2; i <= persister.RingSlots; i++ {
@@ -253,21 +254,21 @@
 	is.Equal(a.Submit(t.Context(), apply("late", "flow", 1)).Status, sycamorerun.StatusUnknown)
 	is.Equal(f.entry(t, 1).Version, sycamorerun.Version(1))
 	f.setFault("", "", 0, nil, true)
-	// Another node makes good what the first one left out.
-	b := run(t, f.store())
+	// Another node writes the missing snapshot.
+	b := startAcceptor(t, f.store())
 	is.Equal(b.Submit(t.Context(), apply("late", "flow", 1)).Version, sycamorerun.Version(persister.RingSlots+1))
 	tree, _, _, err := persister.ReadSnapshot(t.Context(), f.store())
 	is.NoErr(err)
 	is.Equal(tree.Version, sycamorerun.Version(persister.RingSlots))
 }
 
-// Guards against a second history in a store that lost its objects.
+// Guards against starting a second history in a store that lost its objects.
 func TestLostStore(t *testing.T) {
 	for name, version := range map[string]sycamorerun.Version{"first round": 2, "later": persister.RingSlots + 2} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFake()
-			a := run(t, f.store())
+			a := startAcceptor(t, f.store())
 			a.Current = func() sycamorerun.Tree {
 				return sycamorerun.Tree{Version: version, Items: bootstrap().Items}
 			}
@@ -280,53 +281,53 @@
 	}
 }
 
-// Guards against a node that lags behind and reads the log entry by entry.
+// Guards against a lagging node that reads the missing entries one by one.
 func TestLaggingAcceptor(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	a, b := run(t, f.store()), run(t, f.store())
+	a, b := startAcceptor(t, f.store()), startAcceptor(t, f.store())
 	a.Submit(t.Context(), bootstrap())
 	for i := range 100 {
 		b.Submit(t.Context(), apply(fmt.Sprint(i), "flow", i))
 	}
 	before := f.calls["get"]
 	is.Equal(a.Lookup(t.Context(), "99").Version, sycamorerun.Version(101))
-	is.True(f.calls["get"]-before <= listAbove+1)
+	is.True(f.calls["get"]-before <= listThreshold+1)
 	is.Equal(f.calls["list"], 1)
 }
 
-// Guards against submitters that hang when the acceptor stops, and against
-// committing a change whose submitter gave up while it was queued.
+// Guards against submitters that block forever when the acceptor stops, and against
+// committing a queued change whose submitter's context has ended.
 func TestStop(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
 	a := New(f.store())
-	gone, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.Equal(a.Submit(gone, bootstrap()).Status, sycamorerun.StatusUnknown)
-	a.serve(t.Context(), a.gather(nil))
+	is.Equal(a.Submit(cancelled, bootstrap()).Status, sycamorerun.StatusUnknown)
+	a.commitBatch(t.Context(), a.collectBatch(nil))
 	is.Equal(f.calls["put"], 0)
 	result := make(chan sycamorerun.Outcome)
 	go func() { result <- a.Submit(t.Context(), bootstrap()) }()
 	for len(a.queue) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.NoErr(a.Run(gone))
+	is.NoErr(a.Run(cancelled))
 	is.Equal((<-result).Status, sycamorerun.StatusUnknown)
 }
 
-// Guards against an id that is accepted twice by one entry.
+// Guards against an entry that contains the same id twice.
 func TestSameIDInBatch(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	for _, outcome := range serve(t, New(f.store()), bootstrap(), apply("one", "flow", 1), apply("one", "flow", 1)) {
+	for _, outcome := range commitAll(t, New(f.store()), bootstrap(), apply("one", "flow", 1), apply("one", "flow", 1)) {
 		is.Equal(outcome.Version, sycamorerun.Version(1))
 	}
 	verifyLog(t, f, 1)
 }
 
-// Guards against a batch that fails as a whole because one entry can't hold
-// it, and against a change that can never be stored.
+// Guards against a batch that fails as a whole because it does not fit one entry, and
+// against accepting a change that can never be stored.
 func TestLargeBatch(t *testing.T) {
 	noise := func(n int) []byte {
 		data := make([]byte, n)
@@ -353,15 +354,15 @@
 			is := is.New(t)
 			f := newFake()
 			a := New(f.store())
-			serve(t, a, bootstrap())
+			commitAll(t, a, bootstrap())
 			batch := []sycamorerun.Change{large(test.items)}
 			for i := range 16 {
-				// The operators' names fill what the tree leaves of an entry.
+				// Long operator names use up the space that the items leave in an entry.
 				change := apply(fmt.Sprint(i), "other", i)
 				change.Operator = fmt.Sprintf("%x", noise(4<<10))
 				batch = append(batch, change)
 			}
-			for i, outcome := range serve(t, a, batch...) {
+			for i, outcome := range commitAll(t, a, batch...) {
 				is.Equal(outcome.Status == test.want, i == 0 || test.want == sycamorerun.StatusAccepted)
 			}
 			is.Equal(a.head.Version, test.last)
--- a/node/acceptor/decide.go
+++ b/node/acceptor/decide.go
@@ -11,112 +11,115 @@
 	"sycamorerun/differ"
 )
 
-// Request is a change with what its decision needs from the store.
+// Request is a change with the data from the store that its decision needs.
 type Request struct {
 	Change sycamorerun.Change
-	// Target is the team's subtree at Change.Target, for Revert; nil when
-	// that version is out of reach.
+	// Target is the team's subtree at version Change.Target, for Revert. It is
+	// nil if that version can't be restored.
 	Target map[sycamorerun.Path]sycamorerun.Item
-	// Proposal is the one that Approve and Reject name; nil when missing.
+	// Proposal is the proposal to decide on, for Approve and Reject. It is nil
+	// if the store has no proposal with that id.
 	Proposal *Proposal
 }
 
-// View is the state that a change would follow.
+// View is the state that a change is decided on.
 type View struct {
-	// Tree is the state, Tree.Version the version before the next one.
+	// Tree is the newest tree. An accepted change gets version Tree.Version+1.
 	Tree sycamorerun.Tree
-	// Oldest is the oldest base that Changed can be compared with.
-	Oldest sycamorerun.Version
-	// Changed holds the version of the last change of each path.
-	Changed map[sycamorerun.Path]sycamorerun.Version
-	// Decided tells how the change with an id ended.
+	// OldestBase is the oldest base version for which LastChanged is complete.
+	OldestBase sycamorerun.Version
+	// LastChanged holds the version of the last change of each path.
+	LastChanged map[sycamorerun.Path]sycamorerun.Version
+	// Decided returns the outcome of an earlier change by id.
 	Decided func(id string) (sycamorerun.Outcome, bool)
 }
 
-// Verdict is a decision on a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Outcome sycamorerun.Outcome
-	// Known means that the log already holds the outcome.
-	Known bool
+	// AlreadyDecided means that the log already holds the outcome.
+	AlreadyDecided bool
 	// Items is the whole tree after an accepted change.
 	Items map[sycamorerun.Path]sycamorerun.Item
-	// Difference is that of the change alone.
+	// Difference contains this change only, not others of the same entry.
 	Difference sycamorerun.Difference
-	// Records name the changes that the entry contains. They are empty when
-	// nothing is to be committed.
+	// Records identify the changes to record in the entry. They are empty if
+	// there is nothing to commit.
 	Records []sycamorerun.Accepted
-	// Proposal is to be stored, for a pending outcome.
+	// Proposal is the proposal to store, for a pending outcome.
 	Proposal *Proposal
 }
 
-// Rules decide on changes.
+// Rules decides on changes.
 type Rules struct {
 	// Validate returns the faults of a whole tree.
 	Validate func(sycamorerun.Tree) []sycamorerun.Fault
 }
 
-// check returns an outcome when it stops a request.
+// check returns an outcome and true if it stops a request.
 type check func(now time.Time, view View, request Request) (sycamorerun.Outcome, bool)
 
-// checks are made in order before the new subtree is built.
+// checks holds the checks of each kind of change. They run in order, before the new
+// subtree is built.
 var checks = map[sycamorerun.ChangeKind][]check{
-	sycamorerun.Apply:   {teamExists, notHeld, baseUnchanged, ownPaths},
-	sycamorerun.Revert:  {teamExists, notHeld, baseUnchanged, targetKnown},
-	sycamorerun.Place:   {teamExists, holdFree, holdEnds},
-	sycamorerun.Release: {teamExists, holdPlaced},
-	sycamorerun.Approve: {teamExists, proposalOpen, notHeld, otherOperator, contentNamed, subtreeUnchanged},
+	sycamorerun.Apply:   {teamExists, notHeld, baseUnchanged, pathsAllowed},
+	sycamorerun.Revert:  {teamExists, notHeld, baseUnchanged, targetReachable},
+	sycamorerun.Place:   {teamExists, notHeldByOther, holdEndsInFuture},
+	sycamorerun.Release: {teamExists, holdExists},
+	sycamorerun.Approve: {teamExists, proposalOpen, notHeld, approverDiffers, contentHashMatches, subtreeUnchanged},
 	sycamorerun.Reject:  {teamExists, proposalOpen},
 }
 
-// Decide returns what becomes of a request on the state of view at now. The
-// same id gets the same outcome again.
+// Decide returns the verdict on a request, based on view at time now. A change that
+// has already been decided gets the same outcome again.
 func (r Rules) Decide(now time.Time, view View, request Request) Verdict {
 	change := request.Change
 	if outcome, ok := view.Decided(change.ID); ok {
-		return Verdict{Outcome: outcome, Known: true}
+		return Verdict{Outcome: outcome, AlreadyDecided: true}
 	}
-	list, known := checks[change.Kind]
+	kindChecks, known := checks[change.Kind]
 	if !known {
 		return Verdict{Outcome: refuse(change.ID, "unknown-kind", "", "kind %q", change.Kind)}
 	}
-	for _, check := range list {
+	for _, check := range kindChecks {
 		if outcome, stop := check(now, view, request); stop {
 			return Verdict{Outcome: outcome}
 		}
 	}
-	difference := differ.Compare(view.Tree.Subtree(change.Team), subtree(now, view, request))
+	difference := differ.Compare(view.Tree.Subtree(change.Team), newSubtree(now, view, request))
 	items := differ.Apply(view.Tree, view.Tree.Version+1, difference).Items
 	if faults := r.faults(view, change, items); len(faults) > 0 {
 		return Verdict{Outcome: sycamorerun.Outcome{ID: change.ID, Status: sycamorerun.StatusRefused, Faults: faults}}
 	}
-	if reviewed(view.Tree, change) {
-		return propose(now, view, change, items)
+	if needsReview(view.Tree, change) {
+		return proposalVerdict(now, view, change, items)
 	}
 	return Verdict{
 		Outcome: sycamorerun.Outcome{ID: change.ID, Status: sycamorerun.StatusAccepted, Version: view.Tree.Version + 1},
 		Items:   items,
-		Records: records(request),
+		Records: acceptedRecords(request),
 
 		Difference: difference,
 	}
 }
 
+// faults returns the faults of the tree that the change would result in.
 func (r Rules) faults(view View, change sycamorerun.Change, items map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
 	if change.Kind == sycamorerun.Reject {
 		return nil
 	}
-	if faults := limits(items); len(faults) > 0 {
+	if faults := exceededLimits(items); len(faults) > 0 {
 		return faults
 	}
-	// A hold refers to nothing, and releasing one must stay possible.
+	// A hold refers to no other items, and releasing one must always be possible.
 	if change.Kind == sycamorerun.Place || change.Kind == sycamorerun.Release {
 		return nil
 	}
 	return r.Validate(sycamorerun.Tree{Version: view.Tree.Version + 1, Items: items})
 }
 
-// reviewed reports whether the change needs another operator's approval.
-func reviewed(tree sycamorerun.Tree, change sycamorerun.Change) bool {
+// needsReview reports whether the change needs another operator's approval.
+func needsReview(tree sycamorerun.Tree, change sycamorerun.Change) bool {
 	if change.Kind != sycamorerun.Apply && change.Kind != sycamorerun.Revert {
 		return false
 	}
@@ -125,47 +128,50 @@
 		return false
 	}
 	var team sycamorerun.Team
-	// An item that can't be read must not bypass the review.
+	// A team item that can't be decoded must not bypass the review.
 	return json.Unmarshal(item, &team) != nil || team.Mode == sycamorerun.ModeReview
 }
 
-func propose(now time.Time, view View, change sycamorerun.Change, items map[sycamorerun.Path]sycamorerun.Item) Verdict {
-	proposed := content(items, change.Team)
+// proposalVerdict returns a pending verdict with the proposal to store.
+func proposalVerdict(now time.Time, view View, change sycamorerun.Change, items map[sycamorerun.Path]sycamorerun.Item) Verdict {
+	proposed := subtreeWithoutHold(items, change.Team)
 	return Verdict{
 		Outcome: sycamorerun.Outcome{ID: change.ID, Status: sycamorerun.StatusPending},
 		Proposal: &Proposal{
 			ID: change.ID, Team: change.Team, Operator: change.Operator, Kind: change.Kind,
 			Items: proposed, Content: differ.Hash(proposed),
-			Base: differ.Hash(content(view.Tree.Items, change.Team)), Time: now,
+			Base: differ.Hash(subtreeWithoutHold(view.Tree.Items, change.Team)), Time: now,
 		},
 	}
 }
 
-func records(request Request) []sycamorerun.Accepted {
+// acceptedRecords returns the records of the change and of the proposal that it
+// decides on.
+func acceptedRecords(request Request) []sycamorerun.Accepted {
 	change := request.Change
-	list := []sycamorerun.Accepted{{ID: change.ID, Team: change.Team, Operator: change.Operator, Kind: change.Kind}}
+	records := []sycamorerun.Accepted{{ID: change.ID, Team: change.Team, Operator: change.Operator, Kind: change.Kind}}
 	if proposal := request.Proposal; proposal != nil {
 		kind := proposal.Kind
 		if change.Kind == sycamorerun.Reject {
 			kind = Rejected
 		}
-		list = append(list, sycamorerun.Accepted{ID: proposal.ID, Team: proposal.Team, Operator: proposal.Operator, Kind: kind})
+		records = append(records, sycamorerun.Accepted{ID: proposal.ID, Team: proposal.Team, Operator: proposal.Operator, Kind: kind})
 	}
-	return list
+	return records
 }
 
-// subtree returns the team's items after the change.
-func subtree(now time.Time, view View, request Request) map[sycamorerun.Path]sycamorerun.Item {
+// newSubtree returns the team's items after the change.
+func newSubtree(now time.Time, view View, request Request) map[sycamorerun.Path]sycamorerun.Item {
 	change := request.Change
 	before := view.Tree.Subtree(change.Team)
-	held := holdPath(change.Team)
+	path := holdPath(change.Team)
 	switch change.Kind {
 	case sycamorerun.Apply:
-		return withHold(change.Items, before, held)
+		return withHold(change.Items, before, path)
 	case sycamorerun.Revert:
-		return withHold(request.Target, before, held)
+		return withHold(request.Target, before, path)
 	case sycamorerun.Approve:
-		return withHold(request.Proposal.Items, before, held)
+		return withHold(request.Proposal.Items, before, path)
 	case sycamorerun.Place:
 		hold := change.Hold
 		hold.Operator, hold.Since = change.Operator, now.UTC()
@@ -173,29 +179,29 @@
 		if err != nil {
 			panic(fmt.Sprintf("acceptor: hold does not marshal: %v", err))
 		}
-		before[held] = item
+		before[path] = item
 	case sycamorerun.Release:
-		delete(before, held)
+		delete(before, path)
 	}
 	return before
 }
 
-// withHold returns items with the hold of before: only hold and release
-// change it.
-func withHold(items, before map[sycamorerun.Path]sycamorerun.Item, held sycamorerun.Path) map[sycamorerun.Path]sycamorerun.Item {
+// withHold returns items with the hold of before, since only the kinds Place and
+// Release may change a hold.
+func withHold(items, before map[sycamorerun.Path]sycamorerun.Item, path sycamorerun.Path) map[sycamorerun.Path]sycamorerun.Item {
 	after := maps.Clone(items)
 	if after == nil {
 		after = map[sycamorerun.Path]sycamorerun.Item{}
 	}
-	delete(after, held)
-	if item, ok := before[held]; ok {
-		after[held] = item
+	delete(after, path)
+	if item, ok := before[path]; ok {
+		after[path] = item
 	}
 	return after
 }
 
-// content returns the team's items without its hold.
-func content(items map[sycamorerun.Path]sycamorerun.Item, team string) map[sycamorerun.Path]sycamorerun.Item {
+// subtreeWithoutHold returns the team's items without its hold.
+func subtreeWithoutHold(items map[sycamorerun.Path]sycamorerun.Item, team string) map[sycamorerun.Path]sycamorerun.Item {
 	subtree := sycamorerun.Tree{Items: items}.Subtree(team)
 	delete(subtree, holdPath(team))
 	return subtree
@@ -205,13 +211,13 @@
 	return sycamorerun.NewPath(team, sycamorerun.KindHold, "")
 }
 
-// hold returns the team's hold; ok is false when there is none in force.
-func hold(now time.Time, tree sycamorerun.Tree, team string) (hold sycamorerun.Hold, ok bool) {
+// activeHold returns the team's hold and whether it is in force.
+func activeHold(now time.Time, tree sycamorerun.Tree, team string) (hold sycamorerun.Hold, active bool) {
 	item, found := tree.Items[holdPath(team)]
 	if !found {
 		return hold, false
 	}
-	// A hold that can't be read blocks until it is released.
+	// A hold that can't be decoded blocks changes until it is released.
 	if err := json.Unmarshal(item, &hold); err != nil {
 		return hold, true
 	}
@@ -228,34 +234,34 @@
 }
 
 func notHeld(now time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
-	found, held := hold(now, view.Tree, request.Change.Team)
-	if !held {
+	hold, active := activeHold(now, view.Tree, request.Change.Team)
+	if !active {
 		return sycamorerun.Outcome{}, false
 	}
-	return refuse(request.Change.ID, "held", string(holdPath(request.Change.Team)), "held by %s: %s", found.Operator, found.Reason), true
+	return refuse(request.Change.ID, "held", string(holdPath(request.Change.Team)), "held by %s: %s", hold.Operator, hold.Reason), true
 }
 
 func baseUnchanged(_ time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
 	change := request.Change
 	outcome := sycamorerun.Outcome{ID: change.ID, Status: sycamorerun.StatusConflict, Version: view.Tree.Version}
-	fault := func(code, path, format string, args ...any) {
+	addFault := func(code, path, format string, args ...any) {
 		outcome.Faults = append(outcome.Faults, sycamorerun.Fault{Code: code, Path: path, Reason: fmt.Sprintf(format, args...)})
 	}
 	switch {
 	case change.Base == 0 || change.Base == view.Tree.Version:
 		return outcome, false
 	case change.Base > view.Tree.Version:
-		fault("base-unknown", change.Team, "base %d is above the newest version %d", change.Base, view.Tree.Version)
+		addFault("base-unknown", change.Team, "base %d is above the newest version %d", change.Base, view.Tree.Version)
 		return outcome, true
-	case change.Base < view.Oldest:
-		fault("base-too-old", change.Team, "base %d is older than the oldest known version %d", change.Base, view.Oldest)
+	case change.Base < view.OldestBase:
+		addFault("base-too-old", change.Team, "base %d is older than the oldest known version %d", change.Base, view.OldestBase)
 		return outcome, true
 	}
 	latest := sycamorerun.Version(0)
-	for _, path := range slices.Sorted(maps.Keys(view.Changed)) {
-		version := view.Changed[path]
+	for _, path := range slices.Sorted(maps.Keys(view.LastChanged)) {
+		version := view.LastChanged[path]
 		if version > change.Base && path.Team() == change.Team && path != holdPath(change.Team) {
-			fault("changed", string(path), "changed in version %d", version)
+			addFault("changed", string(path), "changed in version %d", version)
 			latest = max(latest, version)
 		}
 	}
@@ -263,21 +269,21 @@
 	return outcome, len(outcome.Faults) > 0
 }
 
-func ownPaths(_ time.Time, _ View, request Request) (sycamorerun.Outcome, bool) {
+func pathsAllowed(_ time.Time, _ View, request Request) (sycamorerun.Outcome, bool) {
 	change := request.Change
 	for _, path := range slices.Sorted(maps.Keys(change.Items)) {
 		team, kind, name := path.Split()
-		admin := kind == sycamorerun.KindTeam && team == sycamorerun.AdminTeam
-		owned := kind == sycamorerun.KindService || kind == sycamorerun.KindRoute
-		named := name != "" && (admin || owned)
-		if team != change.Team || !named && path != sycamorerun.LimitsPath {
+		isTeam := kind == sycamorerun.KindTeam && team == sycamorerun.AdminTeam
+		isServiceOrRoute := kind == sycamorerun.KindService || kind == sycamorerun.KindRoute
+		namedItem := name != "" && (isTeam || isServiceOrRoute)
+		if team != change.Team || !namedItem && path != sycamorerun.LimitsPath {
 			return refuse(change.ID, "wrong-path", string(path), "team %s can't set this path with a settings file", change.Team), true
 		}
 	}
 	return sycamorerun.Outcome{}, false
 }
 
-func targetKnown(_ time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
+func targetReachable(_ time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
 	change := request.Change
 	if request.Target != nil && change.Target <= view.Tree.Version {
 		return sycamorerun.Outcome{}, false
@@ -285,15 +291,15 @@
 	return refuse(change.ID, "target-unknown", change.Team, "version %d is out of reach; the newest is %d", change.Target, view.Tree.Version), true
 }
 
-func holdFree(now time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
-	found, held := hold(now, view.Tree, request.Change.Team)
-	if !held || found.Operator == request.Change.Operator {
+func notHeldByOther(now time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
+	hold, active := activeHold(now, view.Tree, request.Change.Team)
+	if !active || hold.Operator == request.Change.Operator {
 		return sycamorerun.Outcome{}, false
 	}
 	return notHeld(now, view, request)
 }
 
-func holdEnds(now time.Time, _ View, request Request) (sycamorerun.Outcome, bool) {
+func holdEndsInFuture(now time.Time, _ View, request Request) (sycamorerun.Outcome, bool) {
 	until := request.Change.Hold.Until
 	if until.IsZero() || until.After(now) {
 		return sycamorerun.Outcome{}, false
@@ -301,7 +307,7 @@
 	return refuse(request.Change.ID, "bad-until", string(holdPath(request.Change.Team)), "the hold would end in the past"), true
 }
 
-func holdPlaced(_ time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
+func holdExists(_ time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
 	path := holdPath(request.Change.Team)
 	if _, found := view.Tree.Items[path]; found {
 		return sycamorerun.Outcome{}, false
@@ -320,19 +326,19 @@
 		return refuse(change.ID, "no-such-proposal", change.Proposal, "team %s has no such proposal", change.Team), true
 	}
 	if request.Proposal.Expired(now) && change.Kind == sycamorerun.Approve {
-		return refuse(change.ID, "proposal-expired", change.Proposal, "the proposal is older than %v", MaxAge), true
+		return refuse(change.ID, "proposal-expired", change.Proposal, "the proposal is older than %v", MaxProposalAge), true
 	}
 	return sycamorerun.Outcome{}, false
 }
 
-func otherOperator(_ time.Time, _ View, request Request) (sycamorerun.Outcome, bool) {
+func approverDiffers(_ time.Time, _ View, request Request) (sycamorerun.Outcome, bool) {
 	if request.Proposal.Operator != request.Change.Operator {
 		return sycamorerun.Outcome{}, false
 	}
 	return refuse(request.Change.ID, "own-proposal", request.Proposal.ID, "another operator of the team has to approve"), true
 }
 
-func contentNamed(_ time.Time, _ View, request Request) (sycamorerun.Outcome, bool) {
+func contentHashMatches(_ time.Time, _ View, request Request) (sycamorerun.Outcome, bool) {
 	if request.Proposal.Content == request.Change.Content {
 		return sycamorerun.Outcome{}, false
 	}
@@ -340,7 +346,7 @@
 }
 
 func subtreeUnchanged(_ time.Time, view View, request Request) (sycamorerun.Outcome, bool) {
-	if differ.Hash(content(view.Tree.Items, request.Change.Team)) == request.Proposal.Base {
+	if differ.Hash(subtreeWithoutHold(view.Tree.Items, request.Change.Team)) == request.Proposal.Base {
 		return sycamorerun.Outcome{}, false
 	}
 	return sycamorerun.Outcome{
--- a/node/acceptor/decide_test.go
+++ b/node/acceptor/decide_test.go
@@ -12,18 +12,18 @@
 	"sycamorerun/differ"
 )
 
-// Guards against a change that takes effect although a rule forbids it, and
-// against an outcome that does not say why.
+// Guards against a change that takes effect although a rule forbids it, and against
+// a refusal without the right fault code.
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
 	held := func(until time.Time) map[sycamorerun.Path]sycamorerun.Item {
 		return map[sycamorerun.Path]sycamorerun.Item{"flow/hold": item(sycamorerun.Hold{Operator: "bob", Until: until})}
 	}
-	desk := apply("", "flow", 6).Items
-	kind := func(kind sycamorerun.ChangeKind, team string) sycamorerun.Change {
+	service := apply("", "flow", 6).Items
+	ofKind := func(kind sycamorerun.ChangeKind, team string) sycamorerun.Change {
 		return sycamorerun.Change{Kind: kind, Team: team, Operator: "ann", Proposal: "p"}
 	}
-	based := func(base sycamorerun.Version) sycamorerun.Change {
+	withBase := func(base sycamorerun.Version) sycamorerun.Change {
 		change := apply("", "flow", 7)
 		change.Base = base
 		return change
@@ -34,7 +34,7 @@
 			Base: differ.Hash(nil), Items: apply("", "review", 1).Items,
 		}
 	}
-	with := func(path sycamorerun.Path, value sycamorerun.Item) sycamorerun.Change {
+	withItem := func(path sycamorerun.Path, value sycamorerun.Item) sycamorerun.Change {
 		change := apply("", "flow", 6)
 		change.Items[path] = value
 		return change
@@ -49,49 +49,49 @@
 	}{
 		"apply":             {change: apply("", "flow", 6), status: sycamorerun.StatusAccepted},
 		"unknown team":      {change: apply("", "nobody", 6), status: sycamorerun.StatusRefused, code: "no-such-team"},
-		"unknown kind":      {change: kind("delete", "flow"), status: sycamorerun.StatusRefused, code: "unknown-kind"},
+		"unknown kind":      {change: ofKind("delete", "flow"), status: sycamorerun.StatusRefused, code: "unknown-kind"},
 		"id decided":        {change: apply("old", "flow", 6), status: sycamorerun.StatusAccepted},
-		"other team's path": {change: with("other/service/desk", item(1)), status: sycamorerun.StatusRefused, code: "wrong-path"},
-		"hold in a file":    {change: with("flow/hold", item(1)), status: sycamorerun.StatusRefused, code: "wrong-path"},
-		"team by a team":    {change: with("flow/team/x", item(1)), status: sycamorerun.StatusRefused, code: "wrong-path"},
-		"limits by a team":  {change: with("flow/limits", item(1)), status: sycamorerun.StatusRefused, code: "wrong-path"},
+		"other team's path": {change: withItem("other/service/desk", item(1)), status: sycamorerun.StatusRefused, code: "wrong-path"},
+		"hold in a file":    {change: withItem("flow/hold", item(1)), status: sycamorerun.StatusRefused, code: "wrong-path"},
+		"team by a team":    {change: withItem("flow/team/x", item(1)), status: sycamorerun.StatusRefused, code: "wrong-path"},
+		"limits by a team":  {change: withItem("flow/limits", item(1)), status: sycamorerun.StatusRefused, code: "wrong-path"},
 		"limits": {change: sycamorerun.Change{
 			Kind: sycamorerun.Apply, Team: sycamorerun.AdminTeam,
 			Items: map[sycamorerun.Path]sycamorerun.Item{sycamorerun.LimitsPath: sycamorerun.Item(`{}`)},
 		}, status: sycamorerun.StatusAccepted},
-		"invalid":    {change: with("flow/service/invalid", item(1)), status: sycamorerun.StatusRefused, code: "invalid"},
-		"large item": {change: with("flow/service/x", item(strings.Repeat("x", MaxItemBytes))), status: sycamorerun.StatusRefused, code: "too-large"},
+		"invalid":    {change: withItem("flow/service/invalid", item(1)), status: sycamorerun.StatusRefused, code: "invalid"},
+		"large item": {change: withItem("flow/service/x", item(strings.Repeat("x", MaxItemBytes))), status: sycamorerun.StatusRefused, code: "too-large"},
 		"review":     {change: apply("", "review", 6), status: sycamorerun.StatusPending},
 
-		"same base":     {change: based(20), status: sycamorerun.StatusAccepted},
-		"base":          {change: based(12), status: sycamorerun.StatusAccepted},
-		"changed since": {change: based(11), status: sycamorerun.StatusConflict, code: "changed"},
-		"old base":      {change: based(8), status: sycamorerun.StatusConflict, code: "base-too-old"},
-		"future base":   {change: based(21), status: sycamorerun.StatusConflict, code: "base-unknown"},
+		"same base":     {change: withBase(20), status: sycamorerun.StatusAccepted},
+		"base":          {change: withBase(12), status: sycamorerun.StatusAccepted},
+		"changed since": {change: withBase(11), status: sycamorerun.StatusConflict, code: "changed"},
+		"old base":      {change: withBase(8), status: sycamorerun.StatusConflict, code: "base-too-old"},
+		"future base":   {change: withBase(21), status: sycamorerun.StatusConflict, code: "base-unknown"},
 
 		"held":                {tree: held(time.Time{}), change: apply("", "flow", 6), status: sycamorerun.StatusRefused, code: "held"},
 		"held until later":    {tree: held(now.Add(1)), change: apply("", "flow", 6), status: sycamorerun.StatusRefused, code: "held"},
 		"hold over":           {tree: held(now), change: apply("", "flow", 6), status: sycamorerun.StatusAccepted},
 		"unreadable hold":     {tree: map[sycamorerun.Path]sycamorerun.Item{"flow/hold": item(1)}, change: apply("", "flow", 6), status: sycamorerun.StatusRefused, code: "held"},
-		"hold":                {change: kind(sycamorerun.Place, "flow"), status: sycamorerun.StatusAccepted},
-		"hold twice":          {tree: held(time.Time{}), change: kind(sycamorerun.Place, "flow"), status: sycamorerun.StatusRefused, code: "held"},
+		"hold":                {change: ofKind(sycamorerun.Place, "flow"), status: sycamorerun.StatusAccepted},
+		"hold twice":          {tree: held(time.Time{}), change: ofKind(sycamorerun.Place, "flow"), status: sycamorerun.StatusRefused, code: "held"},
 		"hold ended":          {change: sycamorerun.Change{Kind: sycamorerun.Place, Team: "flow", Hold: sycamorerun.Hold{Until: now}}, status: sycamorerun.StatusRefused, code: "bad-until"},
-		"release":             {tree: held(now), change: kind(sycamorerun.Release, "flow"), status: sycamorerun.StatusAccepted},
-		"release without":     {change: kind(sycamorerun.Release, "flow"), status: sycamorerun.StatusRefused, code: "not-held"},
-		"hold not reviewed":   {change: kind(sycamorerun.Place, "review"), status: sycamorerun.StatusAccepted},
-		"revert":              {change: kind(sycamorerun.Revert, "flow"), target: desk, status: sycamorerun.StatusAccepted},
-		"revert out of reach": {change: kind(sycamorerun.Revert, "flow"), status: sycamorerun.StatusRefused, code: "target-unknown"},
-		"revert while held":   {tree: held(time.Time{}), change: kind(sycamorerun.Revert, "flow"), target: desk, status: sycamorerun.StatusRefused, code: "held"},
-		"revert reviewed":     {change: kind(sycamorerun.Revert, "review"), target: desk, status: sycamorerun.StatusPending},
+		"release":             {tree: held(now), change: ofKind(sycamorerun.Release, "flow"), status: sycamorerun.StatusAccepted},
+		"release without":     {change: ofKind(sycamorerun.Release, "flow"), status: sycamorerun.StatusRefused, code: "not-held"},
+		"hold not reviewed":   {change: ofKind(sycamorerun.Place, "review"), status: sycamorerun.StatusAccepted},
+		"revert":              {change: ofKind(sycamorerun.Revert, "flow"), target: service, status: sycamorerun.StatusAccepted},
+		"revert out of reach": {change: ofKind(sycamorerun.Revert, "flow"), status: sycamorerun.StatusRefused, code: "target-unknown"},
+		"revert while held":   {tree: held(time.Time{}), change: ofKind(sycamorerun.Revert, "flow"), target: service, status: sycamorerun.StatusRefused, code: "held"},
+		"revert reviewed":     {change: ofKind(sycamorerun.Revert, "review"), target: service, status: sycamorerun.StatusPending},
 
-		"approve":            {change: kind(sycamorerun.Approve, "review"), proposal: proposal("bob", 0), status: sycamorerun.StatusAccepted},
-		"approve own":        {change: kind(sycamorerun.Approve, "review"), proposal: proposal("ann", 0), status: sycamorerun.StatusRefused, code: "own-proposal"},
-		"approve expired":    {change: kind(sycamorerun.Approve, "review"), proposal: proposal("bob", MaxAge+1), status: sycamorerun.StatusRefused, code: "proposal-expired"},
-		"approve missing":    {change: kind(sycamorerun.Approve, "review"), status: sycamorerun.StatusRefused, code: "no-such-proposal"},
+		"approve":            {change: ofKind(sycamorerun.Approve, "review"), proposal: proposal("bob", 0), status: sycamorerun.StatusAccepted},
+		"approve own":        {change: ofKind(sycamorerun.Approve, "review"), proposal: proposal("ann", 0), status: sycamorerun.StatusRefused, code: "own-proposal"},
+		"approve expired":    {change: ofKind(sycamorerun.Approve, "review"), proposal: proposal("bob", MaxProposalAge+1), status: sycamorerun.StatusRefused, code: "proposal-expired"},
+		"approve missing":    {change: ofKind(sycamorerun.Approve, "review"), status: sycamorerun.StatusRefused, code: "no-such-proposal"},
 		"approve other hash": {change: sycamorerun.Change{Kind: sycamorerun.Approve, Team: "review", Proposal: "p", Content: sycamorerun.Hash{1}}, proposal: proposal("bob", 0), status: sycamorerun.StatusRefused, code: "wrong-content"},
-		"approve changed":    {tree: apply("", "review", 9).Items, change: kind(sycamorerun.Approve, "review"), proposal: proposal("bob", 0), status: sycamorerun.StatusConflict, code: "changed"},
+		"approve changed":    {tree: apply("", "review", 9).Items, change: ofKind(sycamorerun.Approve, "review"), proposal: proposal("bob", 0), status: sycamorerun.StatusConflict, code: "changed"},
 		"approve decided":    {change: sycamorerun.Change{Kind: sycamorerun.Approve, Team: "review", Proposal: "old"}, proposal: proposal("bob", 0), status: sycamorerun.StatusRefused, code: "already-decided"},
-		"reject own":         {change: kind(sycamorerun.Reject, "review"), proposal: proposal("ann", 0), status: sycamorerun.StatusAccepted},
+		"reject own":         {change: ofKind(sycamorerun.Reject, "review"), proposal: proposal("ann", 0), status: sycamorerun.StatusAccepted},
 	}
 	rules := Rules{Validate: func(tree sycamorerun.Tree) (faults []sycamorerun.Fault) {
 		if _, found := tree.Items["flow/service/invalid"]; found {
@@ -103,21 +103,23 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			view := View{
-				Tree:    sycamorerun.Tree{Version: 20, Items: bootstrap().Items},
-				Oldest:  9,
-				Changed: map[sycamorerun.Path]sycamorerun.Version{"flow/service/desk": 12, "other/service/desk": 19, "flow/hold": 18},
-				Decided: func(id string) (sycamorerun.Outcome, bool) { return decided{version: 11}.outcome(id), id == "old" },
+				Tree:        sycamorerun.Tree{Version: 20, Items: bootstrap().Items},
+				OldestBase:  9,
+				LastChanged: map[sycamorerun.Path]sycamorerun.Version{"flow/service/desk": 12, "other/service/desk": 19, "flow/hold": 18},
+				Decided: func(id string) (sycamorerun.Outcome, bool) {
+					return recordedChange{version: 11}.outcome(id), id == "old"
+				},
 			}
 			maps.Copy(view.Tree.Items, test.tree)
 			verdict := rules.Decide(now, view, Request{Change: test.change, Target: test.target, Proposal: test.proposal})
 			is.Equal(verdict.Outcome.Status, test.status)
-			is.Equal(code(verdict.Outcome), test.code)
+			is.Equal(firstFaultCode(verdict.Outcome), test.code)
 			is.Equal(verdict.Proposal != nil, test.status == sycamorerun.StatusPending)
-			fresh := test.status == sycamorerun.StatusAccepted && test.change.ID != "old"
-			is.Equal(len(verdict.Records) > 0, fresh)
-			if fresh {
+			committed := test.status == sycamorerun.StatusAccepted && test.change.ID != "old"
+			is.Equal(len(verdict.Records) > 0, committed)
+			if committed {
 				is.Equal(verdict.Outcome.Version, sycamorerun.Version(21))
-				// Nothing outside the team's subtree changes.
+				// Paths outside the team's subtree must not change.
 				difference := differ.Compare(view.Tree.Items, verdict.Items)
 				for path := range difference.Put {
 					is.Equal(path.Team(), test.change.Team)
@@ -131,11 +133,12 @@
 	}
 }
 
-// Guards against a settings file that removes the team's hold with the rest.
+// Guards against a settings file that removes the team's hold, which is not part of
+// the file.
 func TestApplyKeepsHold(t *testing.T) {
 	is := is.New(t)
 	before := sycamorerun.Tree{Items: map[sycamorerun.Path]sycamorerun.Item{"flow/hold": item(1), "flow/service/gone": item(2)}}
-	after := subtree(time.Unix(0, 0), View{Tree: before}, Request{Change: apply("", "flow", 6)})
+	after := newSubtree(time.Unix(0, 0), View{Tree: before}, Request{Change: apply("", "flow", 6)})
 	is.Equal(len(after), 2)
 	is.Equal(after["flow/hold"], item(1))
 }
--- a/node/acceptor/fake_test.go
+++ b/node/acceptor/fake_test.go
@@ -16,24 +16,24 @@
 	"sycamorerun/persister"
 )
 
-// fake is a store in memory. Fault is asked before each call and may replace
-// its error; after is true when the call takes effect all the same.
+// fake is an in-memory store. It calls fault before each store call. fault returns
+// the error to report, and in applied whether the call takes effect nevertheless.
 type fake struct {
 	mu       sync.Mutex
 	objects  map[string]persister.Object
 	revision persister.Revision
 	calls    map[string]int
 	bytes    int
-	fault    func(operation, key string) (err error, after bool)
+	fault    func(operation, key string) (err error, applied bool)
 }
 
 func newFake() *fake {
 	return &fake{objects: map[string]persister.Object{}, calls: map[string]int{}}
 }
 
-// setFault installs a fault for one operation on keys with prefix, for the
-// next n calls.
-func (f *fake) setFault(operation, prefix string, n int, err error, after bool) {
+// setFault injects err into the next n calls of operation on keys with prefix. The
+// calls take effect if applied is set.
+func (f *fake) setFault(operation, prefix string, n int, err error, applied bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = func(o, key string) (error, bool) {
@@ -41,7 +41,7 @@
 			return nil, true
 		}
 		n--
-		return err, after
+		return err, applied
 	}
 }
 
@@ -50,14 +50,14 @@
 	fault := f.fault
 	f.mu.Unlock()
 	var err error
-	after := true
+	applied := true
 	if fault != nil {
-		err, after = fault(operation, key)
+		err, applied = fault(operation, key)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls[operation]++
-	if !after {
+	if !applied {
 		return err
 	}
 	return cmp.Or(err, effect())
@@ -116,7 +116,7 @@
 	}
 }
 
-// entry returns the entry in version's slot.
+// entry returns the entry in the ring slot of version.
 func (f *fake) entry(t testing.TB, version sycamorerun.Version) sycamorerun.Entry {
 	t.Helper()
 	f.mu.Lock()
@@ -128,11 +128,11 @@
 	return entry
 }
 
-// run starts an acceptor on the store and stops it at the end of the test.
-func run(t testing.TB, store persister.Store) *Acceptor {
+// startAcceptor runs an acceptor on store until the end of the test.
+func startAcceptor(t testing.TB, store persister.Store) *Acceptor {
 	t.Helper()
 	a := New(store)
-	a.Patience = 300 * time.Millisecond
+	a.CommitTimeout = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = a.Run(ctx) }()
@@ -140,21 +140,22 @@
 	return a
 }
 
-// serve commits changes as one batch, without the queue.
-func serve(t testing.TB, a *Acceptor, changes ...sycamorerun.Change) []sycamorerun.Outcome {
+// commitAll commits changes as one batch without using the queue.
+func commitAll(t testing.TB, a *Acceptor, changes ...sycamorerun.Change) []sycamorerun.Outcome {
 	t.Helper()
-	batch := make([]*job, len(changes))
+	batch := make([]*submission, len(changes))
 	for i, change := range changes {
-		batch[i] = &job{ctx: t.Context(), request: Request{Change: change}, done: make(chan sycamorerun.Outcome, 1)}
+		batch[i] = &submission{ctx: t.Context(), request: Request{Change: change}, result: make(chan sycamorerun.Outcome, 1)}
 	}
-	a.serve(t.Context(), batch)
+	a.commitBatch(t.Context(), batch)
 	outcomes := make([]sycamorerun.Outcome, len(batch))
-	for i, j := range batch {
-		outcomes[i] = <-j.done
+	for i, s := range batch {
+		outcomes[i] = <-s.result
 	}
 	return outcomes
 }
 
+// item encodes value as an item of the tree.
 func item(value any) sycamorerun.Item {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -163,8 +164,8 @@
 	return data
 }
 
-// bootstrap is the administrators' first change: two teams that take effect at
-// once and one under review.
+// bootstrap returns the administrators' first change. It declares two teams whose
+// changes take effect at once and one whose changes need a review.
 func bootstrap() sycamorerun.Change {
 	team := func(mode string) sycamorerun.Item { return item(sycamorerun.Team{Mode: mode}) }
 	return sycamorerun.Change{ID: "bootstrap", Kind: sycamorerun.Apply, Team: "admin", Operator: "root", Items: map[sycamorerun.Path]sycamorerun.Item{
@@ -174,14 +175,14 @@
 	}}
 }
 
-// apply sets the slots of a team's only service.
+// apply returns a change that sets the slots of a team's only service.
 func apply(id, team string, slots int) sycamorerun.Change {
 	return sycamorerun.Change{ID: id, Kind: sycamorerun.Apply, Team: team, Operator: "ann", Items: map[sycamorerun.Path]sycamorerun.Item{
 		sycamorerun.NewPath(team, sycamorerun.KindService, "desk"): item(sycamorerun.Service{Slots: slots}),
 	}}
 }
 
-// verifyLog checks that the log is gapless, that its hashes fit and that no id
+// verifyLog checks that the log has no gap, that its hashes match and that no id
 // is in it twice. It returns the versions by id.
 func verifyLog(t testing.TB, f *fake, last sycamorerun.Version) map[string]sycamorerun.Version {
 	t.Helper()
@@ -191,7 +192,7 @@
 		entry := f.entry(t, version)
 		tree = differ.Apply(tree, version, entry.Difference)
 		if entry.Version != version || differ.Hash(tree.Items) != entry.Hash {
-			t.Fatalf("slot of version %d holds version %d or another hash", version, entry.Version)
+			t.Fatalf("slot of version %d: found version %d, or the hash does not match", version, entry.Version)
 		}
 		for _, change := range entry.Changes {
 			if ids[change.ID] != 0 {
@@ -203,7 +204,8 @@
 	return ids
 }
 
-func code(outcome sycamorerun.Outcome) string {
+// firstFaultCode returns the code of the first fault, or an empty string.
+func firstFaultCode(outcome sycamorerun.Outcome) string {
 	if len(outcome.Faults) == 0 {
 		return ""
 	}
--- a/node/acceptor/head.go
+++ b/node/acceptor/head.go
@@ -14,32 +14,34 @@
 )
 
 var (
-	// errGone means that the ring no longer holds an entry.
-	errGone = errors.New("entry is gone from the ring")
-	// errStale means that the store answered with a state older than one that
-	// this node has seen.
-	errStale = errors.New("store answered with a stale state")
+	// errReplaced means that a newer entry has replaced the requested one in the
+	// ring.
+	errReplaced = errors.New("entry has been replaced in the ring")
+	// errStaleRead means that the store returned an older state than one that
+	// this node has already seen.
+	errStaleRead = errors.New("store returned stale data")
 )
 
-// listAbove is the number of missing entries from which one list of the ring
-// costs less than single reads.
-const listAbove = 8
+// listThreshold is the number of single reads above which one list of the ring is
+// cheaper.
+const listThreshold = 8
 
-// slot is the place of the next version: the entry of the round before and the
-// revision that a write expects, zero when the slot is empty.
+// slot is the state of the ring slot for the next version: the entry that it still
+// holds from RingSlots versions ago, and the revision that a write expects. The
+// revision is zero when the slot is empty.
 type slot struct {
 	entry    sycamorerun.Entry
 	revision persister.Revision
 }
 
-// locate moves the head to the newest version that the store shows and returns
-// the slot of the next version.
-func (a *Acceptor) locate(ctx context.Context) (slot, error) {
-	if err := a.follow(ctx); err != nil {
+// syncHead advances the head to the newest version that it reads from the store
+// and returns the slot of the next version.
+func (a *Acceptor) syncHead(ctx context.Context) (slot, error) {
+	if err := a.adoptCurrent(ctx); err != nil {
 		return slot{}, err
 	}
 	for read := 0; ; read++ {
-		if read == listAbove {
+		if read == listThreshold {
 			if err := a.catchUp(ctx); err != nil {
 				return slot{}, err
 			}
@@ -48,19 +50,19 @@
 		entry, revision, err := persister.ReadEntry(ctx, a.Store, next)
 		switch {
 		case errors.Is(err, persister.ErrMissing) && next <= persister.RingSlots:
-			return slot{}, a.verify(ctx)
+			return slot{}, a.verifyStore(ctx)
 		case errors.Is(err, persister.ErrMissing):
-			return slot{}, errors.Wrapf(errStale, "no entry in the slot of version %d", next)
+			return slot{}, errors.Wrapf(errStaleRead, "no entry in the slot of version %d", next)
 		case err != nil:
 			return slot{}, err
 		case entry.Version+persister.RingSlots == next:
 			return slot{entry: entry, revision: revision}, nil
 		case entry.Version == next:
-			err = a.accept(entry)
+			err = a.applyEntry(entry)
 		case entry.Version > next:
-			err = a.jump(ctx)
+			err = a.loadSnapshot(ctx)
 		default:
-			err = errors.Wrapf(errStale, "version %d in the slot of version %d", entry.Version, next)
+			err = errors.Wrapf(errStaleRead, "found version %d in the slot of version %d", entry.Version, next)
 		}
 		if err != nil {
 			return slot{}, err
@@ -68,70 +70,72 @@
 	}
 }
 
-// noRevision is one that no object has.
-const noRevision persister.Revision = 1 << 62
+// impossibleRevision is higher than the revision of any object.
+const impossibleRevision persister.Revision = 1 << 62
 
-// fence makes sure that the read of the slot was not stale, since a refusal
-// that follows from a stale read would be wrong, above all for an id that has
-// been accepted since. Conditional writes are checked against the true state:
-// writing the old entry again succeeds only if it is still there, and a
-// conditional delete that can't match tells whether an empty slot is empty.
-func (a *Acceptor) fence(ctx context.Context, at slot) error {
-	if at.revision != 0 {
-		_, err := persister.WriteEntry(ctx, a.Store, at.entry, at.revision)
+// confirmSlot returns an error if the read of the slot was stale. A refusal that
+// is based on a stale read would be wrong, in particular for an id that has been
+// accepted since. Reads can be stale, but the store checks conditional writes
+// against its current state. Rewriting the old entry succeeds only if it is still
+// there, and a delete whose condition never holds reports whether the slot is
+// empty.
+func (a *Acceptor) confirmSlot(ctx context.Context, nextSlot slot) error {
+	if nextSlot.revision != 0 {
+		_, err := persister.WriteEntry(ctx, a.Store, nextSlot.entry, nextSlot.revision)
 		return err
 	}
-	err := a.Store.Delete(ctx, persister.LogKey(a.head.Version+1), noRevision)
+	err := a.Store.Delete(ctx, persister.LogKey(a.head.Version+1), impossibleRevision)
 	if errors.Is(err, persister.ErrMissing) {
 		return nil
 	}
-	return errors.Wrap(cmp.Or(err, errStale), "slot is not empty")
+	return errors.Wrap(cmp.Or(err, errStaleRead), "slot is not empty")
 }
 
-// verify makes sure once that the store holds the head's entry before the
-// first write to an empty slot. A store that lost its objects would otherwise
-// start a second history.
-func (a *Acceptor) verify(ctx context.Context) error {
-	if a.verified || a.head.Version == 0 {
+// verifyStore checks once, before the first write to an empty slot, that the store
+// holds the head's entry. Otherwise a second history would start in a store that
+// lost its objects.
+func (a *Acceptor) verifyStore(ctx context.Context) error {
+	if a.storeVerified || a.head.Version == 0 {
 		return nil
 	}
-	_, err := a.read(ctx, a.head.Version)
-	a.verified = err == nil
+	_, err := a.readEntry(ctx, a.head.Version)
+	a.storeVerified = err == nil
 	return err
 }
 
-// follow takes over the tree in force at this node when it is newer, and
-// indexes the entries up to it.
-func (a *Acceptor) follow(ctx context.Context) error {
+// adoptCurrent moves the head to the tree in force at this node if that is newer,
+// and indexes the entries up to it.
+func (a *Acceptor) adoptCurrent(ctx context.Context) error {
 	current := a.Current()
 	if current.Version <= a.head.Version {
 		return nil
 	}
-	return a.reset(ctx, current)
+	return a.resetHead(ctx, current)
 }
 
-// jump moves the head to the snapshot, after the ring has gone round.
-func (a *Acceptor) jump(ctx context.Context) error {
+// loadSnapshot moves the head to the snapshot and then to the newest entry of the
+// ring. It is used when the ring has wrapped around past the head.
+func (a *Acceptor) loadSnapshot(ctx context.Context) error {
 	tree, hash, _, err := persister.ReadSnapshot(ctx, a.Store)
 	if err != nil {
 		return err
 	}
 	if tree.Version <= a.head.Version {
-		return errors.Wrapf(errStale, "snapshot of version %d after version %d", tree.Version, a.head.Version)
+		return errors.Wrapf(errStaleRead, "snapshot of version %d is not newer than version %d", tree.Version, a.head.Version)
 	}
 	if differ.Hash(tree.Items) != hash {
 		return errors.Errorf("snapshot of version %d does not match its hash", tree.Version)
 	}
-	a.snapshot = max(a.snapshot, tree.Version)
-	if err := a.reset(ctx, tree); err != nil {
+	a.snapshotVersion = max(a.snapshotVersion, tree.Version)
+	if err := a.resetHead(ctx, tree); err != nil {
 		return err
 	}
 	return a.catchUp(ctx)
 }
 
-// catchUp moves the head over all the entries of one list.
+// catchUp lists the ring once and applies all entries that follow the head.
 func (a *Acceptor) catchUp(ctx context.Context) error {
-	listed, err := a.list(ctx)
+	listed, err := a.listRing(ctx)
 	if err != nil {
 		return err
 	}
@@ -140,20 +144,21 @@
 		if !ok {
 			return nil
 		}
-		if err := a.accept(entry); err != nil {
+		if err := a.applyEntry(entry); err != nil {
 			return err
 		}
 	}
 }
 
-// reset moves the head to tree and indexes the entries of the ring up to it.
-func (a *Acceptor) reset(ctx context.Context, tree sycamorerun.Tree) error {
+// resetHead moves the head to tree and indexes the entries up to it that the ring
+// still holds.
+func (a *Acceptor) resetHead(ctx context.Context, tree sycamorerun.Tree) error {
 	from := sycamorerun.Version(1)
 	if tree.Version > persister.RingSlots {
 		from = tree.Version - persister.RingSlots + 1
 	}
 	from = max(from, a.history.last+1)
-	entries, err := a.entries(ctx, from, tree.Version)
+	entries, err := a.readEntries(ctx, from, tree.Version)
 	if err != nil {
 		return err
 	}
@@ -164,8 +169,9 @@
 	return nil
 }
 
-// entries returns those entries of from to to that the ring still holds.
-func (a *Acceptor) entries(ctx context.Context, from, to sycamorerun.Version) ([]sycamorerun.Entry, error) {
+// readEntries returns the entries of versions from to to, both included, that this
+// node or the ring still holds, in order of version.
+func (a *Acceptor) readEntries(ctx context.Context, from, to sycamorerun.Version) ([]sycamorerun.Entry, error) {
 	var entries []sycamorerun.Entry
 	var missing []sycamorerun.Version
 	for version := from; version <= to; version++ {
@@ -176,9 +182,9 @@
 		}
 	}
 	var listed map[sycamorerun.Version]sycamorerun.Entry
-	if len(missing) > listAbove {
+	if len(missing) > listThreshold {
 		var err error
-		if listed, err = a.list(ctx); err != nil {
+		if listed, err = a.listRing(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -189,8 +195,8 @@
 		entry, ok := listed[version]
 		if !ok {
 			var err error
-			entry, err = a.read(ctx, version)
-			if errors.Is(err, errGone) {
+			entry, err = a.readEntry(ctx, version)
+			if errors.Is(err, errReplaced) {
 				continue
 			}
 			if err != nil {
@@ -203,9 +209,9 @@
 	return entries, nil
 }
 
-// list returns the entries of the ring by version, or none when they are too
-// large for one list: the callers then read what they need.
-func (a *Acceptor) list(ctx context.Context) (map[sycamorerun.Version]sycamorerun.Entry, error) {
+// listRing returns the entries of the ring by version. It returns none if they
+// exceed the size limit of a list; callers then read single entries.
+func (a *Acceptor) listRing(ctx context.Context) (map[sycamorerun.Version]sycamorerun.Entry, error) {
 	listing, err := a.Store.List(ctx, persister.LogPrefix, 0)
 	if errors.Is(err, persister.ErrTooLarge) {
 		return nil, nil
@@ -224,46 +230,47 @@
 	return listed, nil
 }
 
-func (a *Acceptor) read(ctx context.Context, version sycamorerun.Version) (sycamorerun.Entry, error) {
+func (a *Acceptor) readEntry(ctx context.Context, version sycamorerun.Version) (sycamorerun.Entry, error) {
 	entry, _, err := persister.ReadEntry(ctx, a.Store, version)
 	switch {
 	case errors.Is(err, persister.ErrMissing), err == nil && entry.Version < version:
-		return entry, errors.Wrapf(errStale, "no entry for version %d", version)
+		return entry, errors.Wrapf(errStaleRead, "no entry for version %d", version)
 	case err == nil && entry.Version > version:
-		return entry, errGone
+		return entry, errReplaced
 	}
 	return entry, err
 }
 
-// accept verifies an entry that another acceptor committed and moves the head.
-func (a *Acceptor) accept(entry sycamorerun.Entry) error {
+// applyEntry verifies the next entry, which another acceptor committed, and
+// advances the head to it.
+func (a *Acceptor) applyEntry(entry sycamorerun.Entry) error {
 	tree := differ.Apply(a.head, entry.Version, entry.Difference)
 	if differ.Hash(tree.Items) != entry.Hash {
 		return errors.Errorf("entry of version %d does not match its hash", entry.Version)
 	}
-	a.adopt(entry, tree)
+	a.advanceHead(entry, tree)
 	return nil
 }
 
-// adopt moves the head by one entry.
-func (a *Acceptor) adopt(entry sycamorerun.Entry, tree sycamorerun.Tree) {
+// advanceHead indexes entry and makes tree, the result of that entry, the head.
+func (a *Acceptor) advanceHead(entry sycamorerun.Entry, tree sycamorerun.Tree) {
 	a.history.add(entry)
 	a.head = tree
-	a.verified = true
+	a.storeVerified = true
 	a.OnEntry(a.Now(), entry)
 }
 
-// view returns the head for a decision.
+// view returns the state that decisions are based on.
 func (a *Acceptor) view() View {
 	oldest := sycamorerun.Version(0)
 	if a.history.first > 0 {
 		oldest = a.history.first - 1
 	}
 	return View{
-		Tree: a.head, Oldest: oldest, Changed: maps.Clone(a.history.changed),
+		Tree: a.head, OldestBase: oldest, LastChanged: maps.Clone(a.history.lastChanged),
 		Decided: func(id string) (sycamorerun.Outcome, bool) {
-			found, ok := a.history.ids[id]
-			return found.outcome(id), ok
+			change, ok := a.history.byID[id]
+			return change.outcome(id), ok
 		},
 	}
 }
--- a/node/acceptor/history.go
+++ b/node/acceptor/history.go
@@ -7,58 +7,62 @@
 	"sycamorerun/persister"
 )
 
-// Rejected is the kind under which an entry records a proposal that was
-// turned down. The record follows that of the rejection.
+// Rejected is the kind under which an entry records a rejected proposal, after
+// the record of the change that rejected it.
 const Rejected sycamorerun.ChangeKind = "rejected"
 
-// history indexes the entries of the ring, for idempotence and for finding
-// what changed since a base version.
+// history indexes the entries of the ring by change id, which makes changes
+// idempotent, and by path, to detect what changed since a base version.
 type history struct {
-	// first and last are the versions indexed without a gap; last is zero
-	// when nothing is indexed.
+	// first and last delimit the indexed versions, which have no gap. last is
+	// zero when nothing is indexed.
 	first, last sycamorerun.Version
-	ids         map[string]decided
-	changed     map[sycamorerun.Path]sycamorerun.Version
-	slots       [persister.RingSlots][]string
+	byID        map[string]recordedChange
+	lastChanged map[sycamorerun.Path]sycamorerun.Version
+	// idsBySlot holds the ids to remove from byID when a slot is reused.
+	idsBySlot [persister.RingSlots][]string
 }
 
-type decided struct {
+// recordedChange is the result of a change in the log.
+type recordedChange struct {
 	version  sycamorerun.Version
 	rejected bool
 }
 
 func newHistory() *history {
-	return &history{ids: map[string]decided{}, changed: map[sycamorerun.Path]sycamorerun.Version{}}
+	return &history{byID: map[string]recordedChange{}, lastChanged: map[sycamorerun.Path]sycamorerun.Version{}}
 }
 
-// add indexes the entry that follows last and forgets the one that it
-// replaces in the ring.
+// add indexes entry and removes the ids of the entry that it replaces in the ring.
+// An entry that does not follow last starts a new index.
 func (h *history) add(entry sycamorerun.Entry) {
 	if h.last == 0 || entry.Version != h.last+1 {
 		*h = *newHistory()
 		h.first = entry.Version
 	}
 	slot := entry.Version % persister.RingSlots
-	for _, id := range h.slots[slot] {
-		delete(h.ids, id)
+	for _, id := range h.idsBySlot[slot] {
+		delete(h.byID, id)
 	}
-	h.slots[slot] = nil
+	h.idsBySlot[slot] = nil
 	for _, change := range entry.Changes {
-		h.ids[change.ID] = decided{version: entry.Version, rejected: change.Kind == Rejected}
-		h.slots[slot] = append(h.slots[slot], change.ID)
+		h.byID[change.ID] = recordedChange{version: entry.Version, rejected: change.Kind == Rejected}
+		h.idsBySlot[slot] = append(h.idsBySlot[slot], change.ID)
 	}
-	mark(h.changed, entry.Version, entry.Difference)
+	markChanged(h.lastChanged, entry.Version, entry.Difference)
 	h.last = entry.Version
 	if h.last >= h.first+persister.RingSlots {
 		h.first = h.last - persister.RingSlots + 1
 	}
-	// Once a round is often enough to bound the paths of removed items.
+	// Pruning once per RingSlots versions is enough to limit the number of paths
+	// of removed items.
 	if slot == 0 {
-		maps.DeleteFunc(h.changed, func(_ sycamorerun.Path, version sycamorerun.Version) bool { return version < h.first })
+		maps.DeleteFunc(h.lastChanged, func(_ sycamorerun.Path, version sycamorerun.Version) bool { return version < h.first })
 	}
 }
 
-func mark(changed map[sycamorerun.Path]sycamorerun.Version, version sycamorerun.Version, difference sycamorerun.Difference) {
+// markChanged records version as the last change of each path in difference.
+func markChanged(changed map[sycamorerun.Path]sycamorerun.Version, version sycamorerun.Version, difference sycamorerun.Difference) {
 	for path := range difference.Put {
 		changed[path] = version
 	}
@@ -67,12 +71,12 @@
 	}
 }
 
-// outcome returns how the change with id ended.
-func (d decided) outcome(id string) sycamorerun.Outcome {
-	if d.rejected {
-		outcome := refuse(id, "rejected", "", "the proposal was rejected in version %d", d.version)
-		outcome.Version = d.version
+// outcome returns the outcome of the change with id.
+func (c recordedChange) outcome(id string) sycamorerun.Outcome {
+	if c.rejected {
+		outcome := refuse(id, "rejected", "", "the proposal was rejected in version %d", c.version)
+		outcome.Version = c.version
 		return outcome
 	}
-	return sycamorerun.Outcome{ID: id, Status: sycamorerun.StatusAccepted, Version: d.version}
+	return sycamorerun.Outcome{ID: id, Status: sycamorerun.StatusAccepted, Version: c.version}
 }
--- a/node/acceptor/limits.go
+++ b/node/acceptor/limits.go
@@ -12,49 +12,50 @@
 	"sycamorerun/validator"
 )
 
-// Limits of the tree. The compressed tree has to fit one store value.
+// Limits of the tree in bytes. In addition, the compressed tree must fit one store
+// value.
 const (
 	MaxTreeBytes = validator.TreeBytes
 	MaxItemBytes = parser.ItemBytes
 )
 
-// counts bounds the items of each kind.
-var counts = map[string]int{
+// maxItems is the maximum number of items of each kind.
+var maxItems = map[string]int{
 	sycamorerun.KindTeam:    parser.Teams,
 	sycamorerun.KindService: parser.Services,
 	sycamorerun.KindRoute:   parser.Routes,
 }
 
-// limits returns the limits that items exceed.
-func limits(items map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
+// exceededLimits returns a fault for each limit that items exceed.
+func exceededLimits(items map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
 	var faults []sycamorerun.Fault
-	fault := func(path, format string, args ...any) {
+	addFault := func(path, format string, args ...any) {
 		faults = append(faults, sycamorerun.Fault{Code: "too-large", Path: path, Reason: fmt.Sprintf(format, args...)})
 	}
-	total, found := 0, map[string]int{}
+	total, counts := 0, map[string]int{}
 	for path, item := range items {
 		_, kind, _ := path.Split()
-		found[kind]++
+		counts[kind]++
 		total += len(path) + len(item)
 		if len(item) > MaxItemBytes {
-			fault(string(path), "item of %d bytes, limit %d", len(item), MaxItemBytes)
+			addFault(string(path), "item of %d bytes, limit %d", len(item), MaxItemBytes)
 		}
 	}
 	slices.SortFunc(faults, func(a, b sycamorerun.Fault) int { return cmp.Compare(a.Path, b.Path) })
-	for _, kind := range slices.Sorted(maps.Keys(counts)) {
-		limit := counts[kind]
-		if found[kind] > limit {
-			fault(kind, "%d items of this kind, limit %d", found[kind], limit)
+	for _, kind := range slices.Sorted(maps.Keys(maxItems)) {
+		limit := maxItems[kind]
+		if counts[kind] > limit {
+			addFault(kind, "%d items of this kind, limit %d", counts[kind], limit)
 		}
 	}
 	if total > MaxTreeBytes {
-		fault("", "tree of %d bytes, limit %d", total, MaxTreeBytes)
+		addFault("", "tree of %d bytes, limit %d", total, MaxTreeBytes)
 	}
-	// Compressing is only needed for trees that may not fit plain; half of
-	// the limit leaves room for the encoding of many small items.
+	// Only a tree that may not fit uncompressed has to be compressed here. Half
+	// of the limit leaves room for the encoding overhead of many small items.
 	if len(faults) == 0 && total > persister.ValueBytes/2 {
 		if _, err := persister.EncodeSnapshot(sycamorerun.Tree{Items: items}, sycamorerun.Hash{}); err != nil {
-			fault("", "compressed tree: %v", err)
+			addFault("", "compressed tree: %v", err)
 		}
 	}
 	return faults
--- a/node/acceptor/proposal.go
+++ b/node/acceptor/proposal.go
@@ -12,22 +12,23 @@
 	"sycamorerun/persister"
 )
 
-// Limits of proposals.
+// Limits of the proposals of one team.
 const (
-	MaxProposals = 64
-	MaxAge       = 7 * 24 * time.Hour
+	MaxProposals   = 64
+	MaxProposalAge = 7 * 24 * time.Hour
 )
 
-// Proposal is a change under review.
+// Proposal is a change that waits for another operator's approval.
 type Proposal struct {
 	ID       string
 	Team     string
 	Operator string
 	Kind     sycamorerun.ChangeKind
-	// Items is the proposed subtree without its hold, Content its hash.
-	Items   map[sycamorerun.Path]sycamorerun.Item
+	// Items is the proposed subtree without its hold.
+	Items map[sycamorerun.Path]sycamorerun.Item
+	// Content is the hash of Items.
 	Content sycamorerun.Hash
-	// Base is the hash of the subtree that the proposal was made on.
+	// Base is the hash of the subtree that the proposal was based on.
 	Base sycamorerun.Hash
 	Time time.Time
 
@@ -35,7 +36,7 @@
 }
 
 // Expired reports whether the proposal is too old to be approved.
-func (p Proposal) Expired(now time.Time) bool { return now.Sub(p.Time) > MaxAge }
+func (p Proposal) Expired(now time.Time) bool { return now.Sub(p.Time) > MaxProposalAge }
 
 func encodeProposal(p Proposal) ([]byte, error) {
 	data, err := encoder.Pack(&ProposalRecord{
@@ -66,8 +67,8 @@
 	}, nil
 }
 
-// Proposals returns the team's proposals under review, oldest first by
-// revision. It removes those that are too old or already decided.
+// Proposals returns the team's proposals under review in order of revision, oldest
+// first. It removes proposals that are expired or already decided.
 func (a *Acceptor) Proposals(ctx context.Context, team string) ([]Proposal, error) {
 	if a.ExternallyManaged {
 		return nil, nil
@@ -76,58 +77,59 @@
 		return nil, err
 	}
 	defer a.release()
-	if _, err := a.locate(ctx); err != nil {
+	if _, err := a.syncHead(ctx); err != nil {
 		return nil, err
 	}
-	return a.proposals(ctx, team)
+	return a.pendingProposals(ctx, team)
 }
 
-func (a *Acceptor) proposals(ctx context.Context, team string) ([]Proposal, error) {
+func (a *Acceptor) pendingProposals(ctx context.Context, team string) ([]Proposal, error) {
 	listing, err := a.Store.List(ctx, persister.ProposalKey(team, ""), 0)
 	if err != nil {
 		return nil, err
 	}
-	var open []Proposal
+	var pending []Proposal
 	for _, object := range listing.Objects {
 		proposal, err := decodeProposal(object)
 		if err != nil {
-			a.warn("proposal not readable", err)
+			a.warn("ignoring a proposal that cannot be decoded", err)
 			continue
 		}
-		_, decided := a.history.ids[proposal.ID]
+		_, decided := a.history.byID[proposal.ID]
 		if decided || proposal.Expired(a.Now()) {
-			a.remove(ctx, proposal)
+			a.removeProposal(ctx, proposal)
 			continue
 		}
-		open = append(open, proposal)
+		pending = append(pending, proposal)
 	}
-	return open, nil
+	return pending, nil
 }
 
-// remove deletes a proposal that has been decided or is too old. A failure is
-// harmless: the log tells that it was decided, and the next list tries again.
-func (a *Acceptor) remove(ctx context.Context, proposal Proposal) {
+// removeProposal deletes a proposal that has been decided or is expired. A failure
+// is harmless: the log records the decision, and the next list of proposals tries
+// again.
+func (a *Acceptor) removeProposal(ctx context.Context, proposal Proposal) {
 	err := a.Store.Delete(ctx, persister.ProposalKey(proposal.Team, proposal.ID), proposal.revision)
 	if err != nil && !errors.Is(err, persister.ErrMissing) {
-		a.warn("proposal not removed", err)
+		a.warn("deleting a proposal from the store failed", err)
 	}
 }
 
-// propose stores a proposal unless one with its id exists.
-func (a *Acceptor) propose(ctx context.Context, proposal Proposal) sycamorerun.Outcome {
+// storeProposal stores a proposal unless one with the same id exists.
+func (a *Acceptor) storeProposal(ctx context.Context, proposal Proposal) sycamorerun.Outcome {
 	outcome := sycamorerun.Outcome{ID: proposal.ID, Status: sycamorerun.StatusPending}
 	key := persister.ProposalKey(proposal.Team, proposal.ID)
-	open, err := a.proposals(ctx, proposal.Team)
+	pending, err := a.pendingProposals(ctx, proposal.Team)
 	if err != nil {
-		return unknown(proposal.ID, err)
+		return unknownOutcome(proposal.ID, err)
 	}
-	for _, other := range open {
+	for _, other := range pending {
 		if other.ID == proposal.ID {
 			return outcome
 		}
 	}
-	if len(open) >= MaxProposals {
-		return refuse(proposal.ID, "too-many-proposals", proposal.Team, "the team has %d proposals under review", len(open))
+	if len(pending) >= MaxProposals {
+		return refuse(proposal.ID, "too-many-proposals", proposal.Team, "the team has %d proposals under review", len(pending))
 	}
 	data, err := encodeProposal(proposal)
 	if err != nil {
@@ -138,14 +140,14 @@
 		_, err = a.Store.Get(ctx, key)
 	}
 	if err != nil && !errors.Is(err, persister.ErrConflict) {
-		return unknown(proposal.ID, err)
+		return unknownOutcome(proposal.ID, err)
 	}
 	return outcome
 }
 
-// fetch reads the proposal that an approval or a rejection names; nil when
-// there is none.
-func (a *Acceptor) fetch(ctx context.Context, team, id string) (*Proposal, error) {
+// readProposal returns the proposal with id, or nil if there is none that can be
+// decoded.
+func (a *Acceptor) readProposal(ctx context.Context, team, id string) (*Proposal, error) {
 	object, err := a.Store.Get(ctx, persister.ProposalKey(team, id))
 	if errors.Is(err, persister.ErrMissing) {
 		return nil, nil
@@ -155,7 +157,7 @@
 	}
 	proposal, err := decodeProposal(object)
 	if err != nil {
-		a.warn("proposal not readable", err)
+		a.warn("ignoring a proposal that cannot be decoded", err)
 		return nil, nil
 	}
 	return &proposal, nil
--- a/node/acceptor/review_test.go
+++ b/node/acceptor/review_test.go
@@ -11,6 +11,7 @@
 	"sycamorerun/persister"
 )
 
+// decision returns bob's change that approves or rejects proposal.
 func decision(id string, kind sycamorerun.ChangeKind, proposal Proposal) sycamorerun.Change {
 	return sycamorerun.Change{
 		ID: id, Kind: kind, Team: "review", Operator: "bob",
@@ -35,26 +36,26 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFake()
-			a, b := run(t, f.store()), run(t, f.store())
+			a, b := startAcceptor(t, f.store()), startAcceptor(t, f.store())
 			a.Submit(t.Context(), bootstrap())
 			f.setFault("put", persister.ProposalPrefix, 1, persister.ErrUnknown, true)
 			is.Equal(a.Submit(t.Context(), apply("p", "review", 6)).Status, sycamorerun.StatusPending)
 			is.Equal(b.Submit(t.Context(), apply("p", "review", 6)).Status, sycamorerun.StatusPending)
 			is.Equal(b.Lookup(t.Context(), "p").Status, sycamorerun.StatusPending)
-			open, err := b.Proposals(t.Context(), "review")
+			pending, err := b.Proposals(t.Context(), "review")
 			is.NoErr(err)
-			is.Equal(len(open), 1)
+			is.Equal(len(pending), 1)
 			if test.crash {
 				f.setFault("delete", "", 1, persister.ErrUnavailable, false)
 			}
-			is.Equal(b.Submit(t.Context(), decision("d", test.kind, open[0])).Version, sycamorerun.Version(2))
+			is.Equal(b.Submit(t.Context(), decision("d", test.kind, pending[0])).Version, sycamorerun.Version(2))
 			is.Equal(a.Lookup(t.Context(), "p").Status, test.status)
 			is.Equal(a.Lookup(t.Context(), "p").Version, sycamorerun.Version(2))
 			is.Equal(a.Submit(t.Context(), apply("p", "review", 6)).Status, test.status)
-			is.Equal(code(a.Submit(t.Context(), decision("e", sycamorerun.Approve, open[0]))), "already-decided")
-			open, err = a.Proposals(t.Context(), "review")
+			is.Equal(firstFaultCode(a.Submit(t.Context(), decision("e", sycamorerun.Approve, pending[0]))), "already-decided")
+			pending, err = a.Proposals(t.Context(), "review")
 			is.NoErr(err)
-			is.Equal(len(open), 0)
+			is.Equal(len(pending), 0)
 			_, applied := a.head.Items["review/service/desk"]
 			is.Equal(applied, test.kind == sycamorerun.Approve)
 			is.Equal(verifyLog(t, f, 2)["p"], sycamorerun.Version(2))
@@ -62,36 +63,36 @@
 	}
 }
 
-// Guards against proposals that pile up in the store.
+// Guards against proposals that accumulate in the store without limit.
 func TestProposalLimits(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
 	a := New(f.store())
 	now := time.Unix(1000, 0)
 	a.Now = func() time.Time { return now }
-	submit := func(change sycamorerun.Change) sycamorerun.Outcome { return serve(t, a, change)[0] }
+	submit := func(change sycamorerun.Change) sycamorerun.Outcome { return commitAll(t, a, change)[0] }
 	submit(bootstrap())
 	for i := range MaxProposals {
 		is.Equal(submit(apply(fmt.Sprint(i), "review", i)).Status, sycamorerun.StatusPending)
 	}
-	is.Equal(code(submit(apply("more", "review", 1))), "too-many-proposals")
-	now = now.Add(MaxAge + 1)
+	is.Equal(firstFaultCode(submit(apply("more", "review", 1))), "too-many-proposals")
+	now = now.Add(MaxProposalAge + 1)
 	is.Equal(submit(apply("more", "review", 1)).Status, sycamorerun.StatusPending)
-	open, err := a.Proposals(t.Context(), "review")
+	pending, err := a.Proposals(t.Context(), "review")
 	is.NoErr(err)
-	is.Equal(len(open), 1)
+	is.Equal(len(pending), 1)
 }
 
-// Guards against a revert to the wrong content, through the archives as well
-// as through the log alone, and against one that costs thousands of reads.
+// Guards against a revert that restores the wrong content, both from the archive
+// and from the log alone, and against a revert that needs thousands of reads.
 func TestRevert(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	a := run(t, f.store())
+	a := startAcceptor(t, f.store())
 	a.Submit(t.Context(), bootstrap()) // version 1
 	const last = 1400
 	for i := 2; i <= last; i++ {
-		// The snapshot and the archive of this period are written late.
+		// The snapshot and the archive of this interval are written late.
 		switch i {
 		case 768:
 			f.setFault("put", persister.SnapshotKey, 1<<30, persister.ErrUnavailable, false)
@@ -117,13 +118,13 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := run(t, f.store())
+			b := startAcceptor(t, f.store())
 			b.Submit(t.Context(), apply("warm "+name, "other", int(test.target)))
 			f.mu.Lock()
 			before := f.calls["get"]
 			f.mu.Unlock()
 			outcome := b.Submit(t.Context(), sycamorerun.Change{ID: name, Kind: sycamorerun.Revert, Team: "flow", Operator: "ann", Target: test.target})
-			is.Equal(code(outcome), test.code)
+			is.Equal(firstFaultCode(outcome), test.code)
 			f.mu.Lock()
 			is.True(f.calls["get"]-before < 20)
 			f.mu.Unlock()
--- a/node/acceptor/snapshot.go
+++ b/node/acceptor/snapshot.go
@@ -13,43 +13,45 @@
 )
 
 const (
-	// period is the number of versions between two snapshots.
-	period = 256
-	// archives older snapshots let a revert reach every version that the ring
-	// holds: four full periods, the one in progress, and one to start from.
-	archives = persister.RingSlots/period + 2
+	// snapshotInterval is the number of versions between two snapshots.
+	snapshotInterval = 256
+	// archiveSlots is the number of older snapshots that are kept. With them, a
+	// revert can reach every version in the ring: four full intervals, the
+	// current one, and one to start from.
+	archiveSlots = persister.RingSlots/snapshotInterval + 2
 )
 
 func archiveKey(version sycamorerun.Version) string {
-	return fmt.Sprintf("%s/%d", persister.SnapshotKey, version/period%archives)
+	return fmt.Sprintf("%s/%d", persister.SnapshotKey, version/snapshotInterval%archiveSlots)
 }
 
-// keepSnapshot writes a snapshot of the head when none is known of the head's
-// period. A failure is made good after a later commit, by any acceptor.
-func (a *Acceptor) keepSnapshot(ctx context.Context) error {
-	if a.head.Version/period <= a.snapshot/period {
+// writeSnapshotIfDue writes a snapshot of the head unless one of the head's
+// interval is known to exist. After a failure, the next commit of any acceptor
+// tries again.
+func (a *Acceptor) writeSnapshotIfDue(ctx context.Context) error {
+	if a.head.Version/snapshotInterval <= a.snapshotVersion/snapshotInterval {
 		return nil
 	}
 	return a.writeSnapshot(ctx)
 }
 
-// cover makes sure that the snapshot covers the version that next replaces in
-// the ring.
-func (a *Acceptor) cover(ctx context.Context, next sycamorerun.Version) error {
-	if next <= a.snapshot+persister.RingSlots {
+// ensureSnapshotCovers writes a snapshot unless the known one includes the version
+// that next replaces in the ring.
+func (a *Acceptor) ensureSnapshotCovers(ctx context.Context, next sycamorerun.Version) error {
+	if next <= a.snapshotVersion+persister.RingSlots {
 		return nil
 	}
-	return errors.Wrap(a.writeSnapshot(ctx), "snapshot is behind the ring")
+	return errors.Wrap(a.writeSnapshot(ctx), "snapshot is too old to replace a ring entry")
 }
 
-// writeSnapshot stores the head as archive and as snapshot, unless another
-// acceptor has already stored a version of the same period.
+// writeSnapshot stores the head as snapshot and in the archive, unless another
+// acceptor has already stored a version of the same interval.
 func (a *Acceptor) writeSnapshot(ctx context.Context) error {
 	stored, _, revision, err := persister.ReadSnapshot(ctx, a.Store)
 	if err != nil && !errors.Is(err, persister.ErrMissing) {
 		return err
 	}
-	if a.snapshot = max(a.snapshot, stored.Version); a.head.Version/period <= a.snapshot/period {
+	if a.snapshotVersion = max(a.snapshotVersion, stored.Version); a.head.Version/snapshotInterval <= a.snapshotVersion/snapshotInterval {
 		return nil
 	}
 	hash := differ.Hash(a.head.Items)
@@ -57,18 +59,18 @@
 	if err != nil {
 		return err
 	}
-	if err := a.archive(ctx, value); err != nil {
-		a.warn("archive not written", err)
+	if err := a.writeArchive(ctx, value); err != nil {
+		a.warn("writing the snapshot archive failed", err)
 	}
 	if _, err := a.Store.Put(ctx, persister.SnapshotKey, value, revision); err != nil {
 		return err
 	}
-	a.snapshot = a.head.Version
+	a.snapshotVersion = a.head.Version
 	_ = level.Info(a.Logger).Log("msg", "snapshot written", "version", a.head.Version, "bytes", len(value))
 	return nil
 }
 
-func (a *Acceptor) archive(ctx context.Context, value []byte) error {
+func (a *Acceptor) writeArchive(ctx context.Context, value []byte) error {
 	key := archiveKey(a.head.Version)
 	object, err := a.Store.Get(ctx, key)
 	if err != nil && !errors.Is(err, persister.ErrMissing) {
@@ -78,21 +80,21 @@
 	return err
 }
 
-// subtreeAt returns the team's subtree without its hold at target, or nil when
-// the archives and the ring don't reach that far.
+// subtreeAt returns the team's subtree at version target without its hold, or nil
+// if the archive and the ring don't reach that version.
 func (a *Acceptor) subtreeAt(ctx context.Context, team string, target sycamorerun.Version) (map[sycamorerun.Path]sycamorerun.Item, error) {
 	if target == 0 || target > a.head.Version {
 		return nil, nil
 	}
-	base, err := a.archived(ctx, target)
+	base, err := a.readArchive(ctx, target)
 	if err != nil {
 		return nil, err
 	}
-	// Without this bound a target far back would cost thousands of reads.
+	// Without this limit, an old target would cost thousands of reads.
 	if target != base.Version && base.Version+persister.RingSlots < a.head.Version {
 		return nil, nil
 	}
-	entries, err := a.entries(ctx, base.Version+1, target)
+	entries, err := a.readEntries(ctx, base.Version+1, target)
 	if err != nil {
 		return nil, err
 	}
@@ -105,14 +107,14 @@
 	if len(entries) > 0 && differ.Hash(base.Items) != entries[len(entries)-1].Hash {
 		return nil, errors.Errorf("entries up to version %d do not match their hash", target)
 	}
-	return content(base.Items, team), nil
+	return subtreeWithoutHold(base.Items, team), nil
 }
 
-// archived returns the newest archive at or before target; the empty tree of
-// version 0 precedes all.
-func (a *Acceptor) archived(ctx context.Context, target sycamorerun.Version) (sycamorerun.Tree, error) {
-	for back := sycamorerun.Version(0); back < 2 && target/period > back; back++ {
-		object, err := a.Store.Get(ctx, archiveKey(target-back*period))
+// readArchive returns the newest archived snapshot at or before target, or the
+// empty tree of version 0 if there is none.
+func (a *Acceptor) readArchive(ctx context.Context, target sycamorerun.Version) (sycamorerun.Tree, error) {
+	for intervalsBack := sycamorerun.Version(0); intervalsBack < 2 && target/snapshotInterval > intervalsBack; intervalsBack++ {
+		object, err := a.Store.Get(ctx, archiveKey(target-intervalsBack*snapshotInterval))
 		if errors.Is(err, persister.ErrMissing) {
 			continue
 		}
