--- a/persister/client.go
+++ b/persister/client.go
@@ -12,43 +12,45 @@
 	"github.com/pkg/errors"
 )
 
-// HeaderCaller names the caller in the store's statistics.
+// HeaderCaller is the header that identifies the caller in the store's statistics.
 const HeaderCaller = "Sycamorerun-Caller"
 
-// Defaults and limits of the client.
+// Defaults and limits of the store client.
 const (
-	// DefaultTimeout bounds one call, without the wait of a watch.
+	// DefaultTimeout limits one call, not counting the time that a watch waits.
 	DefaultTimeout = 3 * time.Second
-	// DefaultWait bounds one watch. It is short because a connection that
-	// went silent is only noticed when the wait and the timeout are over.
+	// DefaultWait limits how long a watch waits for writes. It is short because
+	// a connection without traffic is only detected as dead when both the wait
+	// and the timeout are over.
 	DefaultWait = 3 * time.Second
-	// A page of a list or a watch has up to 4 MiB of keys and values, which
-	// base64 turns into 5.4 MiB.
-	answerBytes = 8 << 20
-	// listBytes bounds the values of all pages of one list.
-	listBytes = 32 << 20
-	headBytes = 16 << 10
-	idle      = 30 * time.Second
-	probe     = 5 * time.Second
-	idleConns = 4
+	// maxResponseBytes exceeds the size of a page of a list or a watch: up to
+	// 4 MiB of keys and values, which are 5.4 MiB in base64.
+	maxResponseBytes = 8 << 20
+	// maxListBytes limits the total size of the values of a list with all its
+	// pages.
+	maxListBytes    = 32 << 20
+	maxHeaderBytes  = 16 << 10
+	idleTimeout     = 30 * time.Second
+	keepAlivePeriod = 5 * time.Second
+	maxIdleConns    = 4
 )
 
-// ClientConfig are the settings of a client.
+// ClientConfig configures a store client.
 type ClientConfig struct {
 	Address netip.AddrPort
-	// Caller is sent as HeaderCaller when it is set.
+	// Caller is the value of HeaderCaller, which is left out if Caller is empty.
 	Caller string
-	// Timeout and Wait are the defaults when zero.
+	// Timeout and Wait default to DefaultTimeout and DefaultWait.
 	Timeout time.Duration
 	Wait    time.Duration
 }
 
-// NewClient returns a store that is reached over HTTP with JSON.
+// NewClient returns a store that is accessed over HTTP with JSON.
 func NewClient(config ClientConfig) Store {
-	return newClient(config, answerBytes, listBytes)
+	return newClient(config, maxResponseBytes, maxListBytes)
 }
 
-func newClient(config ClientConfig, answerLimit, listLimit int) Store {
+func newClient(config ClientConfig, responseLimit, listLimit int) Store {
 	c := &client{ClientConfig: config, listLimit: listLimit}
 	if c.Timeout <= 0 {
 		c.Timeout = DefaultTimeout
@@ -56,35 +58,35 @@
 	if c.Wait <= 0 {
 		c.Wait = DefaultWait
 	}
-	dialer := &net.Dialer{Timeout: c.Timeout, KeepAlive: probe}
-	c.caller = HTTPClient{Address: c.Address, MaxResponseBytes: answerLimit, HTTP: &http.Client{
+	dialer := &net.Dialer{Timeout: c.Timeout, KeepAlive: keepAlivePeriod}
+	c.httpClient = HTTPClient{Address: c.Address, MaxResponseBytes: responseLimit, HTTP: &http.Client{
 		Transport: &http.Transport{
 			DialContext:            dialer.DialContext,
-			MaxIdleConnsPerHost:    idleConns,
-			IdleConnTimeout:        idle,
-			MaxResponseHeaderBytes: headBytes,
+			MaxIdleConnsPerHost:    maxIdleConns,
+			IdleConnTimeout:        idleTimeout,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 			DisableCompression:     true,
 		},
 		// A redirected write might be executed twice.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 	if c.Caller != "" {
-		c.caller.Header = http.Header{HeaderCaller: {c.Caller}}
+		c.httpClient.Header = http.Header{HeaderCaller: {c.Caller}}
 	}
 	return Store{Get: c.get, List: c.list, Put: c.put, Delete: c.delete, Watch: c.watch}
 }
 
 type client struct {
 	ClientConfig
-	listLimit int
-	caller    HTTPClient
+	listLimit  int
+	httpClient HTTPClient
 }
 
 func (c *client) get(ctx context.Context, key string) (Object, error) {
 	var object Object
 	err := c.do(ctx, Call{Method: http.MethodGet, Path: "/object", Query: url.Values{"key": {key}}}, 0, &object)
 	if err == nil && object.Key != key {
-		return Object{}, errors.Wrapf(ErrUnavailable, "answer for key %q instead of %q", object.Key, key)
+		return Object{}, errors.Wrapf(ErrUnavailable, "response is for key %q instead of %q", object.Key, key)
 	}
 	return object, err
 }
@@ -93,17 +95,17 @@
 	var object Object
 	err := c.do(ctx, Call{
 		Method: http.MethodPut, Path: "/object",
-		Query: url.Values{"key": {key}, "expected": {format(expected)}},
+		Query: url.Values{"key": {key}, "expected": {formatRevision(expected)}},
 		Body:  Object{Value: value},
 	}, 0, &object)
 	if err == nil && object.Revision == 0 {
-		return 0, errors.Wrap(ErrUnknown, "answer without a revision")
+		return 0, errors.Wrap(ErrUnknown, "response has no revision")
 	}
 	return object.Revision, err
 }
 
 func (c *client) delete(ctx context.Context, key string, expected Revision) error {
-	query := url.Values{"key": {key}, "expected": {format(expected)}}
+	query := url.Values{"key": {key}, "expected": {formatRevision(expected)}}
 	return c.do(ctx, Call{Method: http.MethodDelete, Path: "/object", Query: query}, 0, nil)
 }
 
@@ -115,7 +117,7 @@
 			Listing
 			More bool `json:"more"`
 		}
-		query := url.Values{"prefix": {prefix}, "after": {format(after)}}
+		query := url.Values{"prefix": {prefix}, "after": {formatRevision(after)}}
 		if err := c.do(ctx, Call{Method: http.MethodGet, Path: "/list", Query: query}, 0, &page); err != nil {
 			return Listing{}, err
 		}
@@ -123,14 +125,14 @@
 			size += len(object.Value)
 		}
 		if size > c.listLimit {
-			return Listing{}, errors.Wrapf(ErrTooLarge, "list of %s above %d bytes", prefix, c.listLimit)
+			return Listing{}, errors.Wrapf(ErrTooLarge, "list of %s exceeds %d bytes", prefix, c.listLimit)
 		}
 		all.Objects, all.Revision = append(all.Objects, page.Objects...), page.Revision
 		if !page.More {
 			return all, nil
 		}
 		if page.Revision <= after {
-			return Listing{}, errors.Wrap(ErrUnavailable, "list page without progress")
+			return Listing{}, errors.Wrap(ErrUnavailable, "list page does not advance the revision")
 		}
 		after = page.Revision
 	}
@@ -139,17 +141,17 @@
 func (c *client) watch(ctx context.Context, prefix string, after Revision, keysOnly bool) (Listing, error) {
 	var listing Listing
 	query := url.Values{
-		"prefix": {prefix}, "after": {format(after)},
+		"prefix": {prefix}, "after": {formatRevision(after)},
 		"keys": {strconv.FormatBool(keysOnly)}, "wait": {c.Wait.String()},
 	}
 	err := c.do(ctx, Call{Method: http.MethodGet, Path: "/watch", Query: query}, c.Wait, &listing)
 	return listing, err
 }
 
-// do makes one call, which waits at the store for up to wait.
+// do sends a call that the store may delay by up to wait.
 func (c *client) do(ctx context.Context, call Call, wait time.Duration, result any) error {
 	call.Timeout = c.Timeout + wait
-	return c.caller.Do(ctx, call, result)
+	return c.httpClient.Do(ctx, call, result)
 }
 
-func format(revision Revision) string { return strconv.FormatUint(uint64(revision), 10) }
+func formatRevision(revision Revision) string { return strconv.FormatUint(uint64(revision), 10) }
--- a/persister/client_test.go
+++ b/persister/client_test.go
@@ -14,40 +14,40 @@
 	"github.com/pkg/errors"
 )
 
-// limit replaces the client's own limits to keep the tests small.
-const limit = 64 << 10
+// testLimit replaces the client's size limits to keep test data small.
+const testLimit = 64 << 10
 
-// Guards against a mapping that tells an acceptor "no effect" when a write may
-// have taken effect, or that hides a refusal.
+// Guards against reporting that a write had no effect when it may have taken effect,
+// and against hiding that the store refused a call.
 func TestClientFaults(t *testing.T) {
-	answer := func(status int, body string) http.HandlerFunc {
+	respond := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
 			_, _ = io.WriteString(w, body)
 		}
 	}
-	const good = `{"key":"k","revision":4}`
+	const valid = `{"key":"k","revision":4}`
 	cases := map[string]struct {
-		handler                http.HandlerFunc
-		get, put, erase, watch error
+		handler                 http.HandlerFunc
+		get, put, remove, watch error
 	}{
-		"success":           {answer(200, good), nil, nil, nil, nil},
-		"missing":           {answer(404, ""), ErrMissing, ErrMissing, ErrMissing, ErrMissing},
-		"conflict":          {answer(409, `{"error":"x"}`), ErrConflict, ErrConflict, ErrConflict, ErrConflict},
-		"compacted":         {answer(410, ""), ErrCompacted, ErrCompacted, ErrCompacted, ErrCompacted},
-		"rate limit":        {answer(429, "no json"), ErrUnavailable, ErrUnavailable, ErrUnavailable, ErrUnavailable},
-		"refused":           {answer(503, ""), ErrUnavailable, ErrUnavailable, ErrUnavailable, ErrUnavailable},
-		"too large":         {answer(413, ""), ErrInvalid, ErrInvalid, ErrInvalid, ErrInvalid},
-		"internal error":    {answer(500, ""), ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
-		"gateway timeout":   {answer(504, ""), ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
-		"redirect":          {answer(307, ""), ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
-		"answer of another": {answer(200, `{"key":"other","revision":4}`), ErrUnavailable, nil, nil, nil},
-		"empty object":      {answer(200, `{}`), ErrUnavailable, ErrUnknown, nil, nil},
-		"not json":          {answer(200, `<html>`), ErrUnavailable, ErrUnknown, nil, ErrUnavailable},
-		"above the limit":   {answer(200, `"`+strings.Repeat("x", limit)+`"`), ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
+		"success":           {respond(200, valid), nil, nil, nil, nil},
+		"missing":           {respond(404, ""), ErrMissing, ErrMissing, ErrMissing, ErrMissing},
+		"conflict":          {respond(409, `{"error":"x"}`), ErrConflict, ErrConflict, ErrConflict, ErrConflict},
+		"compacted":         {respond(410, ""), ErrCompacted, ErrCompacted, ErrCompacted, ErrCompacted},
+		"rate limit":        {respond(429, "no json"), ErrUnavailable, ErrUnavailable, ErrUnavailable, ErrUnavailable},
+		"refused":           {respond(503, ""), ErrUnavailable, ErrUnavailable, ErrUnavailable, ErrUnavailable},
+		"too large":         {respond(413, ""), ErrInvalid, ErrInvalid, ErrInvalid, ErrInvalid},
+		"internal error":    {respond(500, ""), ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
+		"gateway timeout":   {respond(504, ""), ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
+		"redirect":          {respond(307, ""), ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
+		"answer of another": {respond(200, `{"key":"other","revision":4}`), ErrUnavailable, nil, nil, nil},
+		"empty object":      {respond(200, `{}`), ErrUnavailable, ErrUnknown, nil, nil},
+		"not json":          {respond(200, `<html>`), ErrUnavailable, ErrUnknown, nil, ErrUnavailable},
+		"above the limit":   {respond(200, `"`+strings.Repeat("x", testLimit)+`"`), ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
 		"truncated": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
-			_, _ = io.WriteString(w, good)
+			_, _ = io.WriteString(w, valid)
 		}, ErrUnavailable, ErrUnknown, ErrUnknown, ErrUnavailable},
 		"cut before the answer": {func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
@@ -66,7 +66,7 @@
 			store := newClient(ClientConfig{
 				Address: netip.MustParseAddrPort(server.Listener.Addr().String()),
 				Timeout: 200 * time.Millisecond, Wait: time.Millisecond,
-			}, limit, limit)
+			}, testLimit, testLimit)
 			check := func(err, want error) {
 				t.Helper()
 				is.True(errors.Is(err, want))
@@ -75,15 +75,15 @@
 			check(err, test.get)
 			_, err = store.Put(t.Context(), "k", nil, 1)
 			check(err, test.put)
-			check(store.Delete(t.Context(), "k", 1), test.erase)
+			check(store.Delete(t.Context(), "k", 1), test.remove)
 			_, err = store.Watch(t.Context(), "k", 1, false)
 			check(err, test.watch)
 		})
 	}
 }
 
-// Guards against reporting an unknown outcome when the store could not be
-// reached at all, and against a call that outlives its context.
+// Guards against reporting an unknown outcome when the store can't be reached at
+// all, and against a call that continues after its context has ended.
 func TestClientUnreachable(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.NotFoundHandler())
@@ -98,10 +98,10 @@
 	is.True(errors.Is(err, ErrUnavailable))
 }
 
-// Guards against a list that never ends when the store repeats a page, and
-// against one that fills the node's memory.
+// Guards against a list that never ends because the store repeats a page, and
+// against a list that exhausts the node's memory.
 func TestClientListPages(t *testing.T) {
-	value := strings.Repeat("A", limit/2)
+	value := strings.Repeat("A", testLimit/2)
 	cases := map[string]struct {
 		answer string
 		want   error
@@ -115,10 +115,10 @@
 			page := uint64(0)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				page++
-				_, _ = io.WriteString(w, strings.Replace(test.answer, "%", format(Revision(page)), 1))
+				_, _ = io.WriteString(w, strings.Replace(test.answer, "%", formatRevision(Revision(page)), 1))
 			}))
 			defer server.Close()
-			store := newClient(ClientConfig{Address: netip.MustParseAddrPort(server.Listener.Addr().String())}, limit, limit)
+			store := newClient(ClientConfig{Address: netip.MustParseAddrPort(server.Listener.Addr().String())}, testLimit, testLimit)
 			_, err := store.List(t.Context(), "", 0)
 			is.True(errors.Is(err, test.want))
 		})
--- a/persister/log.go
+++ b/persister/log.go
@@ -11,22 +11,23 @@
 	"sycamorerun/encoder"
 )
 
-// Keys of the store.
+// Keys and key prefixes of the objects in the store.
 const (
 	LogPrefix      = "log/"
 	SnapshotKey    = "snapshot"
 	ProposalPrefix = "proposal/"
 )
 
-// RingSlots is the number of objects that hold the log. Version N is in slot
-// N mod RingSlots and replaces version N-RingSlots.
+// RingSlots is the number of objects that hold the log as a ring buffer. Version N
+// is in slot N mod RingSlots and replaces version N-RingSlots.
 const RingSlots = 1024
 
-// ValueBytes bounds an entry or a snapshot as stored. It stays below the
-// store's limit of 1,000,000 bytes to a value.
+// ValueBytes is the maximum size of a stored entry or snapshot. It is below the
+// store's limit of 1,000,000 bytes per value.
 const ValueBytes = 900 << 10
 
-// ErrTooLarge means that a value exceeds ValueBytes as stored.
+// ErrTooLarge means that the stored form of a value exceeds ValueBytes, or that a
+// list exceeds the limit of the client.
 var ErrTooLarge = errors.New("value too large")
 
 // LogKey returns the key of the ring slot for version.
@@ -39,12 +40,13 @@
 	return ProposalPrefix + team + "/" + id
 }
 
-// EncodeEntry returns the stored form of entry, or ErrTooLarge.
+// EncodeEntry returns the stored form of entry, or ErrTooLarge if it exceeds
+// ValueBytes.
 func EncodeEntry(entry sycamorerun.Entry) ([]byte, error) {
-	return pack(encoder.FromEntry(entry))
+	return encode(encoder.FromEntry(entry))
 }
 
-// DecodeEntry reads what EncodeEntry wrote.
+// DecodeEntry decodes the stored form of an entry.
 func DecodeEntry(data []byte) (sycamorerun.Entry, error) {
 	message, err := encoder.Unpack[encoder.Entry](data)
 	if err != nil {
@@ -53,12 +55,13 @@
 	return encoder.ToEntry(message)
 }
 
-// EncodeSnapshot returns the stored form of tree, or ErrTooLarge.
+// EncodeSnapshot returns the stored form of tree, or ErrTooLarge if it exceeds
+// ValueBytes.
 func EncodeSnapshot(tree sycamorerun.Tree, hash sycamorerun.Hash) ([]byte, error) {
-	return pack(encoder.FromTree(tree, hash))
+	return encode(encoder.FromTree(tree, hash))
 }
 
-// DecodeSnapshot reads what EncodeSnapshot wrote. It does not verify the hash.
+// DecodeSnapshot decodes the stored form of a snapshot. It does not verify the hash.
 func DecodeSnapshot(data []byte) (sycamorerun.Tree, sycamorerun.Hash, error) {
 	message, err := encoder.Unpack[encoder.Snapshot](data)
 	if err != nil {
@@ -67,9 +70,9 @@
 	return encoder.ToTree(message)
 }
 
-// ReadEntry returns the entry in version's ring slot and the slot's revision.
-// The slot may hold an older or a newer round: the caller compares
-// Entry.Version. An empty slot gives ErrMissing.
+// ReadEntry returns the entry in the ring slot of version and the slot's revision.
+// The slot may hold an older or a newer version, so callers must check
+// Entry.Version. For an empty slot the error is ErrMissing.
 func ReadEntry(ctx context.Context, store Store, version sycamorerun.Version) (sycamorerun.Entry, Revision, error) {
 	object, err := store.Get(ctx, LogKey(version))
 	if err != nil {
@@ -79,8 +82,8 @@
 	return entry, object.Revision, errors.Wrapf(err, "decode %s", object.Key)
 }
 
-// WriteEntry puts entry into its ring slot when the slot's revision equals
-// expected, zero meaning that the slot is empty.
+// WriteEntry writes entry to its ring slot if the slot's revision equals expected.
+// Zero means that the slot must be empty.
 func WriteEntry(ctx context.Context, store Store, entry sycamorerun.Entry, expected Revision) (Revision, error) {
 	data, err := EncodeEntry(entry)
 	if err != nil {
@@ -89,8 +92,8 @@
 	return store.Put(ctx, LogKey(entry.Version), data, expected)
 }
 
-// ReadSnapshot returns the stored snapshot, the hash that it claims and the
-// object's revision, or ErrMissing.
+// ReadSnapshot returns the stored snapshot, the unverified hash that is stored with
+// it, and the object's revision, or ErrMissing if there is no snapshot.
 func ReadSnapshot(ctx context.Context, store Store) (sycamorerun.Tree, sycamorerun.Hash, Revision, error) {
 	object, err := store.Get(ctx, SnapshotKey)
 	if err != nil {
@@ -100,7 +103,8 @@
 	return tree, hash, object.Revision, errors.Wrap(err, "decode snapshot")
 }
 
-func pack(message proto.Message) ([]byte, error) {
+// encode returns the stored form of message, or ErrTooLarge if it exceeds ValueBytes.
+func encode(message proto.Message) ([]byte, error) {
 	data, err := encoder.Pack(message)
 	if err != nil {
 		return nil, err
--- a/persister/log_test.go
+++ b/persister/log_test.go
@@ -13,7 +13,7 @@
 	"sycamorerun"
 )
 
-func sample() sycamorerun.Entry {
+func sampleEntry() sycamorerun.Entry {
 	return sycamorerun.Entry{
 		Version: 1031,
 		Base:    1029,
@@ -27,38 +27,39 @@
 	}
 }
 
-// Guards against a codec that drops a field, and against a slot mapping that
-// differs between the writer and the readers of the log.
+// Guards against a codec that drops a field, and against a mapping of versions to
+// slots that differs between the writer and the readers of the log.
 func TestEntryRoundTrip(t *testing.T) {
 	is := is.New(t)
-	data, err := EncodeEntry(sample())
+	data, err := EncodeEntry(sampleEntry())
 	is.NoErr(err)
 	entry, err := DecodeEntry(data)
 	is.NoErr(err)
-	is.Equal(entry, sample())
+	is.Equal(entry, sampleEntry())
 	is.Equal(LogKey(entry.Version), "log/0007")
 	is.Equal(LogKey(1023), "log/1023")
 	is.Equal(LogKey(1024), "log/0000")
 }
 
-// Guards against an entry that the store would refuse after the acceptor
+// Guards against an entry that the store refuses for its size after the acceptor has
 // decided to commit it.
 func TestEntryTooLarge(t *testing.T) {
 	is := is.New(t)
-	noise := make([]byte, ValueBytes)
-	_, err := rand.Read(noise)
+	random := make([]byte, ValueBytes)
+	_, err := rand.Read(random)
 	is.NoErr(err)
-	item, err := json.Marshal(noise)
+	item, err := json.Marshal(random)
 	is.NoErr(err)
-	entry := sample()
+	entry := sampleEntry()
 	entry.Difference.Put["quoting/service/desk"] = item
 	_, err = EncodeEntry(entry)
 	is.True(errors.Is(err, ErrTooLarge))
 }
 
-// Guards against a panic or an unstable decoding of damaged log objects.
+// Guards against a panic on damaged log objects, and against an entry that changes
+// when it is decoded and encoded again.
 func FuzzDecodeEntry(f *testing.F) {
-	data, err := EncodeEntry(sample())
+	data, err := EncodeEntry(sampleEntry())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -70,16 +71,16 @@
 		if err != nil {
 			return
 		}
-		once, err := EncodeEntry(entry)
+		first, err := EncodeEntry(entry)
 		if err != nil {
 			return
 		}
-		again, err := DecodeEntry(once)
+		decoded, err := DecodeEntry(first)
 		if err != nil {
 			t.Fatalf("decode of a re-encoded entry: %v", err)
 		}
-		twice, err := EncodeEntry(again)
-		if err != nil || !bytes.Equal(once, twice) {
+		second, err := EncodeEntry(decoded)
+		if err != nil || !bytes.Equal(first, second) {
 			t.Fatalf("encoding is not stable: %v", err)
 		}
 	})
