--- /dev/null
+++ b/persister/http_client.go
@@ -0,0 +1,142 @@
+package persister
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"net/netip"
+	"net/url"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+)
+
+// Call is a request to a store over HTTP with JSON.
+type Call struct {
+	Method, Path string
+	Query        url.Values
+	// Body is encoded as JSON unless it is nil.
+	Body any
+	// Timeout limits the whole call, including the response body.
+	Timeout time.Duration
+}
+
+// isWrite reports whether the call can have an effect.
+func (c Call) isWrite() bool { return c.Method != http.MethodGet }
+
+// HTTPClient sends calls to a store and maps their results to the errors of this
+// package. Its fields must be set before the first call.
+type HTTPClient struct {
+	Address netip.AddrPort
+	HTTP    *http.Client
+	// Header is sent with each call.
+	Header http.Header
+	// ContentType is sent with each body unless it is empty.
+	ContentType string
+	// MaxResponseBytes is the maximum size of a response body.
+	MaxResponseBytes int
+	// SuccessStatuses are the statuses other than 200 that mean success.
+	SuccessStatuses []int
+}
+
+// errorsByStatus maps statuses to errors. The store uses 429 and 503 only for calls
+// that had no effect.
+var errorsByStatus = map[int]error{
+	http.StatusNotFound:              ErrMissing,
+	http.StatusConflict:              ErrConflict,
+	http.StatusGone:                  ErrCompacted,
+	http.StatusTooManyRequests:       ErrUnavailable,
+	http.StatusServiceUnavailable:    ErrUnavailable,
+	http.StatusBadRequest:            ErrInvalid,
+	http.StatusRequestEntityTooLarge: ErrInvalid,
+}
+
+// Do sends a call and decodes the response into result unless result is nil.
+func (c *HTTPClient) Do(ctx context.Context, call Call, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
+	defer cancel()
+	// Nothing can have been sent before the transport has a connection. After
+	// that, a write without a response may have taken effect.
+	var connected atomic.Bool
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
+	})
+	request, err := c.newRequest(ctx, call)
+	if err != nil {
+		return err
+	}
+	response, err := c.HTTP.Do(request)
+	if err != nil {
+		return classifyFailure(call.isWrite() && connected.Load(), err)
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, int64(c.MaxResponseBytes)+1))
+	if !c.succeeded(response.StatusCode) {
+		return statusError(call, response.StatusCode, body)
+	}
+	if err == nil && len(body) > c.MaxResponseBytes {
+		err = errors.Errorf("response exceeds %d bytes", c.MaxResponseBytes)
+	}
+	if err == nil && result != nil {
+		err = json.Unmarshal(body, result)
+	}
+	if err != nil {
+		return classifyFailure(call.isWrite(), err)
+	}
+	return nil
+}
+
+func (c *HTTPClient) succeeded(status int) bool {
+	return status == http.StatusOK || slices.Contains(c.SuccessStatuses, status)
+}
+
+func (c *HTTPClient) newRequest(ctx context.Context, call Call) (*http.Request, error) {
+	var body io.Reader
+	if call.Body != nil {
+		data, err := json.Marshal(call.Body)
+		if err != nil {
+			return nil, errors.Wrap(err, "encode the body of a store call")
+		}
+		body = bytes.NewReader(data)
+	}
+	target := url.URL{Scheme: "http", Host: c.Address.String(), Path: call.Path, RawQuery: call.Query.Encode()}
+	request, err := http.NewRequestWithContext(ctx, call.Method, target.String(), body)
+	if err != nil {
+		return nil, errors.Wrap(err, "create store request")
+	}
+	for name, values := range c.Header {
+		request.Header[name] = values
+	}
+	if call.Body != nil && c.ContentType != "" {
+		request.Header.Set("Content-Type", c.ContentType)
+	}
+	return request, nil
+}
+
+// classifyFailure returns the error of a call without a usable response: ErrUnknown
+// if the call may have had an effect, otherwise ErrUnavailable.
+func classifyFailure(mayHaveEffect bool, err error) error {
+	if mayHaveEffect {
+		return errors.Wrap(ErrUnknown, err.Error())
+	}
+	return errors.Wrap(ErrUnavailable, err.Error())
+}
+
+// statusError returns the error for the status and the body of a response that does
+// not report success.
+func statusError(call Call, status int, body []byte) error {
+	statusErr, known := errorsByStatus[status]
+	if !known {
+		return classifyFailure(call.isWrite(), errors.Errorf("status %d", status))
+	}
+	var problem struct {
+		Error string `json:"error"`
+	}
+	_ = json.Unmarshal(body, &problem)
+	return errors.Wrapf(statusErr, "status %d %s", status, problem.Error)
+}
