--- a/node/deduplicator/deduplicator_test.go
+++ b/node/deduplicator/deduplicator_test.go
@@ -159,9 +159,9 @@
 	d := clean(small)
 	all, rest := set("a", "b", "c"), set("a", "c")
 	own, inherited, foreign := find(t, "a", "a"), find(t, "b", "a"), find(t, "c", "c")
-	d.Moved(start, all, all)
+	d.SetMembers(start, all, all)
 	is.Equal(d.Begin(start, "1", Key{Name: inherited}).Reason, ReasonOwner)
-	d.Moved(start, rest, rest)
+	d.SetMembers(start, rest, rest)
 	is.Equal(d.Begin(start, "2", Key{Name: own}).Verdict, sycamorerun.VerdictRun)
 	is.Equal(d.Begin(start, "3", Key{Name: inherited}), sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonMoved})
 	is.Equal(d.Begin(start, "4", Key{Name: foreign}), sycamorerun.Decision{Verdict: sycamorerun.VerdictRefused, Reason: ReasonOwner})
@@ -169,13 +169,13 @@
 
 	restarted := New(start, small)
 	restarted.Self, restarted.Boot = "a", 1
-	restarted.Moved(start, all, all)
+	restarted.SetMembers(start, all, all)
 	is.Equal(restarted.Begin(at(small.Age-1), "1", Key{Name: own}).Reason, ReasonMoved)
 	is.Equal(restarted.Begin(at(small.Age), "2", Key{Name: own}).Verdict, sycamorerun.VerdictRun)
 
 	busy := clean(small)
 	for n := range 2*setsMax + 1 {
-		busy.Moved(start, [][]Member{all, rest}[n%2], all)
+		busy.SetMembers(start, [][]Member{all, rest}[n%2], all)
 	}
 	is.True(len(busy.moves.past) <= setsMax)
 	is.Equal(busy.Begin(at(time.Minute), "1", Key{Name: own}).Reason, ReasonMoved)
@@ -198,10 +198,10 @@
 			is := is.New(t)
 			d := clean(small)
 			restarted := Member{"c", 2}
-			d.Moved(start, set("a", "b", "c"), set("a", "b", "c"))
+			d.SetMembers(start, set("a", "b", "c"), set("a", "b", "c"))
 			is.True(d.Grant(start, restarted, 1, set("a", "b", "c"), true).Granted)
 			for _, announced := range c.announced {
-				d.Moved(start, announced, announced)
+				d.SetMembers(start, announced, announced)
 			}
 			if c.met {
 				d.Meet(start, map[Member]Grant{restarted: {Granted: true}})
@@ -217,12 +217,12 @@
 	is := is.New(t)
 	restarted := New(start, small)
 	restarted.Self, restarted.Boot = "c", 2
-	restarted.Moved(start, nil, nil)
-	restarted.Moved(start, set("a", "b"), set("a", "b"))
+	restarted.SetMembers(start, nil, nil)
+	restarted.SetMembers(start, set("a", "b"), set("a", "b"))
 	d := clean(small)
-	d.Moved(start, set("a", "b"), set("a", "b"))
+	d.SetMembers(start, set("a", "b"), set("a", "b"))
 	all := append(set("a", "b"), restarted.member())
-	d.Moved(start, all, all)
+	d.SetMembers(start, all, all)
 	grant := restarted.Grant(start, d.member(), 1, all, true)
 	is.True(grant.Granted)
 	d.Meet(start, map[Member]Grant{restarted.member(): grant})
--- a/node/deduplicator/exchange_test.go
+++ b/node/deduplicator/exchange_test.go
@@ -137,7 +137,7 @@
 func (s *service) see(name string, view []Member) {
 	p := s.processes[name]
 	p.view = view
-	p.Records.Moved(s.now, view, s.live(view))
+	p.Records.SetMembers(s.now, view, s.live(view))
 	ctx, cancel := s.limited()
 	defer cancel()
 	p.Meet(ctx)
@@ -709,7 +709,7 @@
 	all := s.announced()
 	for _, member := range all[1:] {
 		for _, set := range [][]Member{without(all, member.Name), all} {
-			d.Moved(s.now, set, all)
+			d.SetMembers(s.now, set, all)
 		}
 	}
 	clear(d.moves.strangers)
--- a/node/deduplicator/moves.go
+++ b/node/deduplicator/moves.go
@@ -146,9 +146,9 @@
 	}
 }
 
-// Moved records the members that can execute keys now, the instances of the
+// SetMembers records the members that can execute keys now, the instances of the
 // service that take calls, and all live ones, in any order.
-func (d *Deduplicator) Moved(now time.Time, announced, live []Member) {
+func (d *Deduplicator) SetMembers(now time.Time, announced, live []Member) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	m := &d.moves
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -244,7 +244,7 @@
 func (n *node) membersMoved(now time.Time) {
 	announcement, ok := n.calls.upstream.service()
 	if ok && n.applier.Current().Tree.Version > 0 {
-		n.calls.deduplicator.Moved(now, executors(n.fleet.serving(announcement.Service)), executors(n.fleet.live()))
+		n.calls.deduplicator.SetMembers(now, executors(n.fleet.serving(announcement.Service)), executors(n.fleet.live()))
 	}
 }
 
