--- a/node/deduplicator/codec.go
+++ b/node/deduplicator/codec.go
@@ -71,7 +71,7 @@
 	batch, size := &Records{}, 0
 	for _, record := range records {
 		batch.Entries = append(batch.Entries, &Entry{
-			Key: []byte(record.Key.Name), Print: record.Key.Print,
+			Key: []byte(record.Key.Name), Print: record.Key.Fingerprint,
 			Certain: record.Certain, Kept: record.Kept, Response: record.Response,
 		})
 		if size += len(record.Key.Name) + len(record.Response); size >= batchBytes || len(batch.Entries) >= batchCount {
@@ -93,7 +93,7 @@
 		for _, entry := range batch.GetEntries() {
 			responses += len(entry.GetResponse())
 			records = append(records, Record{
-				Key:     Key{Name: string(entry.GetKey()), Print: entry.GetPrint()},
+				Key:     Key{Name: string(entry.GetKey()), Fingerprint: entry.GetPrint()},
 				Certain: entry.GetCertain(), Kept: entry.GetKept(), Response: entry.GetResponse(),
 			})
 		}
--- a/node/deduplicator/deduplicator.go
+++ b/node/deduplicator/deduplicator.go
@@ -23,11 +23,11 @@
 	ReasonFull      = "keys-full"
 )
 
-// Key is an idempotency key with its scope. Print identifies the request that
+// Key is an idempotency key with its scope. Fingerprint identifies the request that
 // it stands for. The zero key means none.
 type Key struct {
-	Name  string
-	Print uint64
+	Name        string
+	Fingerprint uint64
 }
 
 // Result is how a call ended.
--- a/node/deduplicator/deduplicator_test.go
+++ b/node/deduplicator/deduplicator_test.go
@@ -104,7 +104,7 @@
 // Guards a booking against a second run under its key, in each state that the
 // key can be in and beyond the bounds of its record.
 func TestKeys(t *testing.T) {
-	key := Key{Name: "k", Print: 1}
+	key := Key{Name: "k", Fingerprint: 1}
 	run := func(d *Deduplicator, result Result) {
 		d.Begin(start, "x", key)
 		d.Finish(start, "x", key, result)
@@ -120,7 +120,7 @@
 		"running":              {func(d *Deduplicator) { d.Begin(start, "x", key) }, key, 0, sycamorerun.VerdictUncertain, ReasonRunning},
 		"running for long":     {func(d *Deduplicator) { d.Begin(start, "x", key) }, key, time.Hour, sycamorerun.VerdictUncertain, ReasonRunning},
 		"answered":             {func(d *Deduplicator) { run(d, answered) }, key, time.Minute, sycamorerun.VerdictRecorded, ReasonRecorded},
-		"another request":      {func(d *Deduplicator) { run(d, answered) }, Key{Name: "k", Print: 2}, 0, sycamorerun.VerdictMismatch, ReasonUncertain},
+		"another request":      {func(d *Deduplicator) { run(d, answered) }, Key{Name: "k", Fingerprint: 2}, 0, sycamorerun.VerdictMismatch, ReasonUncertain},
 		"not run":              {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.NotRun}) }, key, 0, sycamorerun.VerdictRun, ""},
 		"unknown":              {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.Unknown}) }, key, 0, sycamorerun.VerdictUncertain, ReasonUncertain},
 		"response too large":   {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.Answered}) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
--- a/node/deduplicator/keys.go
+++ b/node/deduplicator/keys.go
@@ -43,7 +43,7 @@
 		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonForgotten}, traced
 	}
 	switch {
-	case known.print != key.Print:
+	case known.print != key.Fingerprint:
 		return sycamorerun.Decision{Verdict: sycamorerun.VerdictMismatch, Reason: ReasonUncertain}, true
 	case known.running:
 		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonRunning}, true
@@ -57,7 +57,7 @@
 }
 
 func (k *keys) start(key Key) {
-	k.records[key.Name] = &record{print: key.Print, running: true}
+	k.records[key.Name] = &record{print: key.Fingerprint, running: true}
 }
 
 // finish records the end. A key whose request did not run is free again.
@@ -144,7 +144,7 @@
 func (k *keys) record(name string) Record {
 	known := k.records[name]
 	return Record{
-		Key: Key{Name: name, Print: known.print}, Certain: known.certain, Kept: known.kept, Response: known.response,
+		Key: Key{Name: name, Fingerprint: known.print}, Certain: known.certain, Kept: known.kept, Response: known.response,
 	}
 }
 
@@ -155,7 +155,7 @@
 		return
 	}
 	if !ok {
-		known = &record{print: in.Key.Print}
+		known = &record{print: in.Key.Fingerprint}
 		k.records[in.Key.Name] = known
 		k.ended.push(now, in.Key.Name)
 	}
--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -124,10 +124,10 @@
 	}
 	f.Load = func(Match) *Load { return &Load{Running: uint32(b.limiter.Load().Running), Slots: 6} }
 	f.Begin = func(now time.Time, claim Claim) sycamorerun.Decision {
-		return b.records.Begin(now, claim.ID, deduplicator.Key{Name: claim.Key, Print: claim.Print})
+		return b.records.Begin(now, claim.ID, deduplicator.Key{Name: claim.Key, Fingerprint: claim.Print})
 	}
 	f.Finish = func(now time.Time, claim Claim, ending Ending) {
-		b.records.Finish(now, claim.ID, deduplicator.Key{Name: claim.Key, Print: claim.Print},
+		b.records.Finish(now, claim.ID, deduplicator.Key{Name: claim.Key, Fingerprint: claim.Print},
 			deduplicator.Result{Result: ending.Result, Response: ending.Response})
 	}
 	f.Refuse = func(now time.Time, id string, age time.Duration) Progress {
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -187,5 +187,5 @@
 }
 
 func key(claim forwarder.Claim) deduplicator.Key {
-	return deduplicator.Key{Name: claim.Key, Print: claim.Print}
+	return deduplicator.Key{Name: claim.Key, Fingerprint: claim.Print}
 }
