--- a/node/deduplicator/calls.go
+++ b/node/deduplicator/calls.go
@@ -97,7 +97,7 @@
 			c.horizon = oldest.at
 		}
 	}
-	for c.refused.length() > 0 && now.Sub(c.refused.oldest().at) >= limits.Age {
+	for c.refused.length() > 0 && now.Sub(c.refused.oldest().at) >= limits.KeyTTL {
 		delete(c.states, c.refused.oldest().item)
 		c.refused.drop()
 	}
--- a/node/deduplicator/deduplicator.go
+++ b/node/deduplicator/deduplicator.go
@@ -55,15 +55,15 @@
 	// which they stay.
 	Calls   int
 	CallAge time.Duration
-	// Refusals is the number of refusals on record. A refusal stays for Age.
+	// Refusals is the number of refusals on record. A refusal stays for KeyTTL.
 	Refusals int
-	// Keys is the number of keys on record with their state, for Age.
-	Keys int
-	Age  time.Duration
+	// Keys is the number of keys on record with their state, for KeyTTL.
+	Keys   int
+	KeyTTL time.Duration
 	// Bytes is the size of all recorded responses together.
 	Bytes int
 	// Traces is the number of keys of which only the hash is still known, for
-	// Reach. They are answered as uncertain. When all are younger than Age, new
+	// Reach. They are answered as uncertain. When all are younger than KeyTTL, new
 	// keys are refused.
 	Traces int
 	Reach  time.Duration
@@ -73,7 +73,7 @@
 // calls/s over 9,800 upstreams, a minute of calls is 19,200 records.
 var Defaults = Limits{
 	Calls: 32 << 10, CallAge: time.Minute, Refusals: 16 << 10,
-	Keys: 16 << 10, Age: 10 * time.Minute, Bytes: 8 << 20,
+	Keys: 16 << 10, KeyTTL: 10 * time.Minute, Bytes: 8 << 20,
 	Traces: 128 << 10, Reach: 24 * time.Hour,
 }
 
@@ -85,7 +85,7 @@
 	Boot int64
 	// Clean says that no call with a key can have been served before this
 	// process began. Otherwise another member, or an earlier process beside this
-	// upstream, may have run it, and unknown keys are uncertain for Limits.Age.
+	// upstream, may have run it, and unknown keys are uncertain for Limits.KeyTTL.
 	Clean bool
 
 	mutex  sync.Mutex
--- a/node/deduplicator/deduplicator_test.go
+++ b/node/deduplicator/deduplicator_test.go
@@ -13,7 +13,7 @@
 var start = time.Unix(1000, 0)
 
 var small = Limits{
-	Calls: 4, CallAge: time.Minute, Refusals: 3, Keys: 4, Age: 10 * time.Minute,
+	Calls: 4, CallAge: time.Minute, Refusals: 3, Keys: 4, KeyTTL: 10 * time.Minute,
 	Bytes: 10, Traces: 6, Reach: time.Hour,
 }
 
@@ -124,12 +124,12 @@
 		"not run":              {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.NotRun}) }, key, 0, sycamorerun.VerdictRun, ""},
 		"unknown":              {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.Unknown}) }, key, 0, sycamorerun.VerdictUncertain, ReasonUncertain},
 		"response too large":   {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.Answered}) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
-		"beyond the age":       {func(d *Deduplicator) { run(d, answered) }, key, small.Age, sycamorerun.VerdictUncertain, ReasonForgotten},
+		"beyond the age":       {func(d *Deduplicator) { run(d, answered) }, key, small.KeyTTL, sycamorerun.VerdictUncertain, ReasonForgotten},
 		"beyond the bytes":     {func(d *Deduplicator) { run(d, answered); fill(d, 2) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
 		"beyond the count":     {func(d *Deduplicator) { run(d, answered); fill(d, 5) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
 		"beyond every record":  {func(d *Deduplicator) { run(d, answered); fill(d, 20) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
 		"no room for a record": {func(d *Deduplicator) { fill(d, 20) }, key, 0, sycamorerun.VerdictRefused, ReasonFull},
-		"room again":           {func(d *Deduplicator) { fill(d, 20) }, key, small.Age, sycamorerun.VerdictRun, ""},
+		"room again":           {func(d *Deduplicator) { fill(d, 20) }, key, small.KeyTTL, sycamorerun.VerdictRun, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -165,13 +165,13 @@
 	is.Equal(d.Begin(start, "2", Key{Name: own}).Verdict, sycamorerun.VerdictRun)
 	is.Equal(d.Begin(start, "3", Key{Name: inherited}), sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonMoved})
 	is.Equal(d.Begin(start, "4", Key{Name: foreign}), sycamorerun.Decision{Verdict: sycamorerun.VerdictRefused, Reason: ReasonOwner})
-	is.Equal(d.Begin(at(small.Age), "5", Key{Name: inherited}).Verdict, sycamorerun.VerdictRun)
+	is.Equal(d.Begin(at(small.KeyTTL), "5", Key{Name: inherited}).Verdict, sycamorerun.VerdictRun)
 
 	restarted := New(start, small)
 	restarted.Self, restarted.Boot = "a", 1
 	restarted.SetMembers(start, all, all)
-	is.Equal(restarted.Begin(at(small.Age-1), "1", Key{Name: own}).Reason, ReasonMoved)
-	is.Equal(restarted.Begin(at(small.Age), "2", Key{Name: own}).Verdict, sycamorerun.VerdictRun)
+	is.Equal(restarted.Begin(at(small.KeyTTL-1), "1", Key{Name: own}).Reason, ReasonMoved)
+	is.Equal(restarted.Begin(at(small.KeyTTL), "2", Key{Name: own}).Verdict, sycamorerun.VerdictRun)
 
 	busy := clean(small)
 	for n := range 2*setsMax + 1 {
--- a/node/deduplicator/exchange_test.go
+++ b/node/deduplicator/exchange_test.go
@@ -79,7 +79,7 @@
 func (s *service) begin(name string) *process {
 	s.now = s.now.Add(time.Millisecond)
 	p := &process{member: Member{name, s.now.UnixNano()}}
-	records := New(s.now, Limits{Calls: 1000, CallAge: time.Minute, Refusals: 100, Keys: 1000, Age: 10 * time.Minute, Bytes: 1 << 20, Traces: 1000, Reach: time.Hour})
+	records := New(s.now, Limits{Calls: 1000, CallAge: time.Minute, Refusals: 100, Keys: 1000, KeyTTL: 10 * time.Minute, Bytes: 1 << 20, Traces: 1000, Reach: time.Hour})
 	records.Self, records.Boot = name, p.member.Boot
 	p.Exchanger = &Exchanger{
 		Records: records, Logger: log.NewNopLogger(),
--- a/node/deduplicator/keys.go
+++ b/node/deduplicator/keys.go
@@ -82,8 +82,8 @@
 
 func (k *keys) expire(now time.Time, limits Limits) {
 	for k.ended.length() > limits.Keys ||
-		k.ended.length() > 0 && now.Sub(k.ended.oldest().at) >= limits.Age {
-		if now.Sub(k.ended.oldest().at) < limits.Age {
+		k.ended.length() > 0 && now.Sub(k.ended.oldest().at) >= limits.KeyTTL {
+		if now.Sub(k.ended.oldest().at) < limits.KeyTTL {
 			k.faded = now
 		}
 		k.fade(now, k.ended.oldest().item)
@@ -129,9 +129,9 @@
 }
 
 // aged reports whether the oldest trace is no longer needed: its key is older
-// than Limits.Age.
+// than Limits.KeyTTL.
 func (k *keys) aged(now time.Time, limits Limits) bool {
-	return now.Sub(k.vanished.oldest().at) >= limits.Age
+	return now.Sub(k.vanished.oldest().at) >= limits.KeyTTL
 }
 
 // full reports whether there is no room for another key. Dropping a trace
--- a/node/deduplicator/moves.go
+++ b/node/deduplicator/moves.go
@@ -105,7 +105,7 @@
 	at  time.Time
 }
 
-// moves are the member sets of the last Limits.Age.
+// moves are the member sets of the last Limits.KeyTTL.
 type moves struct {
 	announced []Member
 	// joiners have been granted their keys but are not announced yet.
@@ -179,7 +179,7 @@
 	strangers := len(m.strangers)
 	maps.DeleteFunc(m.strangers, gone)
 	if len(m.strangers) < strangers {
-		m.blind = now.Add(d.limits.Age)
+		m.blind = now.Add(d.limits.KeyTTL)
 	}
 	maps.DeleteFunc(m.met, gone)
 }
@@ -239,7 +239,7 @@
 // make every key uncertain here and at each member that adopts it.
 func (d *Deduplicator) remember(now time.Time, sets ...members) {
 	m := &d.moves
-	aged := func(at time.Time) bool { return now.Sub(at) >= d.limits.Age }
+	aged := func(at time.Time) bool { return now.Sub(at) >= d.limits.KeyTTL }
 	m.past = slices.DeleteFunc(append(m.past, sets...), func(past members) bool {
 		return len(past.set) == 0 || aged(past.until)
 	})
@@ -249,7 +249,7 @@
 		}
 	}
 	if len(m.past) > setsMax {
-		m.past, m.blind = nil, now.Add(d.limits.Age)
+		m.past, m.blind = nil, now.Add(d.limits.KeyTTL)
 	}
 	m.names = m.names[:0]
 	for _, past := range m.past {
@@ -279,7 +279,7 @@
 
 // doubtful reports whether nothing can be said of unknown keys.
 func (d *Deduplicator) doubtful(now time.Time) bool {
-	return now.Before(d.moves.blind) || !d.Clean && now.Sub(d.began) < d.limits.Age
+	return now.Before(d.moves.blind) || !d.Clean && now.Sub(d.began) < d.limits.KeyTTL
 }
 
 // moved reports whether another process may have executed key within the age.
@@ -289,7 +289,7 @@
 	}
 	ranked := rank(key, d.moves.names)
 	for _, past := range d.moves.past {
-		if now.Sub(past.until) < d.limits.Age && !d.cleared(now, key, first(ranked, past.set)) {
+		if now.Sub(past.until) < d.limits.KeyTTL && !d.cleared(now, key, first(ranked, past.set)) {
 			return true
 		}
 	}
@@ -304,7 +304,7 @@
 		if member == d.member() {
 			return true
 		}
-		if at, ok := d.moves.doubted[member]; ok && now.Sub(at) < d.limits.Age {
+		if at, ok := d.moves.doubted[member]; ok && now.Sub(at) < d.limits.KeyTTL {
 			return false
 		}
 		if slices.Contains(d.moves.current, member) {
--- a/node/deduplicator/transfer.go
+++ b/node/deduplicator/transfer.go
@@ -50,7 +50,7 @@
 			records[owner] = append(records[owner], d.handed(name, owner))
 		}
 	}
-	early := !d.keys.faded.IsZero() && now.Sub(d.keys.faded) < d.limits.Age
+	early := !d.keys.faded.IsZero() && now.Sub(d.keys.faded) < d.limits.KeyTTL
 	return records, slices.Clone(d.moves.current), !d.doubtful(now) && len(d.moves.strangers) == 0 && !early
 }
 
@@ -99,7 +99,7 @@
 func (d *Deduplicator) take(now time.Time, records []Record) {
 	for _, record := range records {
 		if d.keys.full(now, d.limits) {
-			d.moves.blind = now.Add(d.limits.Age)
+			d.moves.blind = now.Add(d.limits.KeyTTL)
 			return
 		}
 		d.keys.take(now, record)
@@ -181,7 +181,7 @@
 
 // Join ends a join with what the members answered, by member. The join is
 // complete if each member of view has granted; otherwise every unknown key
-// counts as moved for Limits.Age.
+// counts as moved for Limits.KeyTTL.
 func (d *Deduplicator) Join(now time.Time, view []Member, grants map[Member]Grant) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -69,7 +69,7 @@
 		return time.Duration(found.Warmup)
 	}
 	limits := deduplicator.Defaults
-	limits.Age = settings.KeyWindow
+	limits.KeyTTL = settings.KeyWindow
 	c.deduplicator = deduplicator.New(now, limits)
 	c.deduplicator.Self = settings.Name
 
