--- a/node/deduplicator/deduplicator.go
+++ b/node/deduplicator/deduplicator.go
@@ -83,10 +83,10 @@
 	// of this process.
 	Self string
 	Boot int64
-	// Clean says that no call with a key can have been served before this
+	// HistoryComplete says that no call with a key can have been served before this
 	// process began. Otherwise another member, or an earlier process beside this
 	// upstream, may have run it, and unknown keys are uncertain for Limits.KeyTTL.
-	Clean bool
+	HistoryComplete bool
 
 	mutex  sync.Mutex
 	limits Limits
@@ -116,7 +116,7 @@
 func (d *Deduplicator) StartClean() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.Clean = true
+	d.HistoryComplete = true
 	d.moves.left, d.moves.joining, d.moves.joined = false, false, true
 	clear(d.moves.strangers)
 	d.moves.known, d.moves.past, d.moves.blind = false, nil, time.Time{}
--- a/node/deduplicator/moves.go
+++ b/node/deduplicator/moves.go
@@ -279,7 +279,7 @@
 
 // doubtful reports whether nothing can be said of unknown keys.
 func (d *Deduplicator) doubtful(now time.Time) bool {
-	return now.Before(d.moves.blind) || !d.Clean && now.Sub(d.began) < d.limits.KeyTTL
+	return now.Before(d.moves.blind) || !d.HistoryComplete && now.Sub(d.began) < d.limits.KeyTTL
 }
 
 // moved reports whether another process may have executed key within the age.
--- a/node/deduplicator/transfer.go
+++ b/node/deduplicator/transfer.go
@@ -206,7 +206,7 @@
 	// view may have handed its keys to another process that has left as well.
 	m.announced = slices.DeleteFunc(slices.Clone(view), func(member Member) bool { return grants[member].Joining })
 	d.recompose(now)
-	d.Clean = complete
+	d.HistoryComplete = complete
 	if !complete {
 		d.began = now
 	}
--- a/node/forwarder/bed_test.go
+++ b/node/forwarder/bed_test.go
@@ -59,7 +59,7 @@
 		records:  deduplicator.New(time.Now().Add(-time.Hour), deduplicator.Defaults),
 		observed: make(chan Observation, 16),
 	}
-	b.records.Self, b.records.Clean = "beside", true
+	b.records.Self, b.records.HistoryComplete = "beside", true
 	b.upstream = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b.executed.Add(1)
 		handler(w, r)
