--- a/node/deduplicator/exchange_test.go
+++ b/node/deduplicator/exchange_test.go
@@ -564,7 +564,7 @@
 			is.Equal(s.call(key), sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonUncertain})
 			a.Records.Finish(s.now, "1", Key{Name: key}, answered)
 			ctx, cancel := s.limited()
-			a.Finish(ctx)
+			a.SendResults(ctx)
 			cancel()
 			is.Equal(s.call(key), sycamorerun.Decision{Verdict: sycamorerun.VerdictRecorded, Reason: ReasonRecorded, Response: []byte("four")})
 			is.Equal(len(a.Records.Owed())+len(a.Records.debts), 0)
--- a/node/deduplicator/session.go
+++ b/node/deduplicator/session.go
@@ -112,7 +112,7 @@
 			return nil
 		case <-ticker.C:
 		case <-e.Records.wake:
-			e.Finish(ctx)
+			e.SendResults(ctx)
 			e.Meet(ctx)
 		}
 	}
@@ -252,8 +252,8 @@
 	return complete
 }
 
-// Finish hands over the results of requests that ended after their keys.
-func (e *Exchanger) Finish(ctx context.Context) {
+// SendResults hands over the results of requests that ended after their keys.
+func (e *Exchanger) SendResults(ctx context.Context) {
 	e.handOver(ctx, e.Records.Owed())
 }
 
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -250,7 +250,7 @@
 	leaving, stop := context.WithTimeout(context.Background(), leaveTimeout)
 	defer stop()
 	if n.settings.Keys {
-		n.keys.Finish(leaving)
+		n.keys.SendResults(leaving)
 	}
 	n.tracker.Leave(leaving)
 	return limit
