--- a/node/deduplicator/calls.go
+++ b/node/deduplicator/calls.go
@@ -6,40 +6,40 @@
 	"sycamorerun"
 )
 
-// dated is an entry of a queue in order of time.
-type dated[T any] struct {
+// timedItem is an item of a queue with the time at which it was added.
+type timedItem[T any] struct {
 	at   time.Time
 	item T
 }
 
-// queue holds entries in order of time.
+// queue is a FIFO queue whose entries are in order of time.
 type queue[T any] struct {
-	entries []dated[T]
+	entries []timedItem[T]
 	first   int
 }
 
-func (l *queue[T]) push(at time.Time, item T) { l.entries = append(l.entries, dated[T]{at, item}) }
-func (l *queue[T]) length() int               { return len(l.entries) - l.first }
-func (l *queue[T]) oldest() dated[T]          { return l.entries[l.first] }
+func (q *queue[T]) push(at time.Time, item T) { q.entries = append(q.entries, timedItem[T]{at, item}) }
+func (q *queue[T]) length() int               { return len(q.entries) - q.first }
+func (q *queue[T]) oldest() timedItem[T]      { return q.entries[q.first] }
 
-// drop removes the oldest entry, and frees the space of removed entries when
-// they are half of the queue.
-func (l *queue[T]) drop() {
-	l.entries[l.first] = dated[T]{}
-	l.first++
-	if l.first*2 >= len(l.entries) {
-		l.entries = append(l.entries[:0:0], l.entries[l.first:]...)
-		l.first = 0
+// drop removes the oldest entry. The slice is reallocated when half of its entries
+// have been removed.
+func (q *queue[T]) drop() {
+	q.entries[q.first] = timedItem[T]{}
+	q.first++
+	if q.first*2 >= len(q.entries) {
+		q.entries = append(q.entries[:0:0], q.entries[q.first:]...)
+		q.first = 0
 	}
 }
 
-// calls are the records of calls by id.
+// calls holds the records of calls by id.
 type calls struct {
 	states   map[string]State
 	finished queue[string]
 	refused  queue[string]
-	// horizon is the latest time at which a call ended whose record has been
-	// dropped. Of a call that was opened before it, nothing can be said.
+	// horizon is the latest end of a call whose record has been dropped. The state
+	// of an unrecorded call that was opened at or before it is unknown.
 	horizon time.Time
 }
 
@@ -60,8 +60,8 @@
 
 func (c *calls) start(id string) { c.states[id] = StateStarted }
 
-// finish ends a started call. One that did not run after all counts as
-// refused, so that a query about it is answered with certainty.
+// finish records the result of a started call. A call that did not run is recorded
+// as refused, so that Refuse reports with certainty that it did not run.
 func (c *calls) finish(now time.Time, id string, result sycamorerun.Result) {
 	if c.states[id] != StateStarted {
 		return
@@ -73,8 +73,9 @@
 	c.finished.push(now, id)
 }
 
-// refuse records a refusal unless the call is known. Refusals are promises and
-// are never dropped early: when there is no room the answer promises nothing.
+// refuse records a refusal unless the call is known. A refusal guarantees that the
+// call does not run, so it is never dropped before its TTL; without room for
+// another one, the state is unknown.
 func (c *calls) refuse(now time.Time, id string, age time.Duration, limit int) State {
 	if state, known := c.states[id]; known {
 		return state
@@ -89,7 +90,7 @@
 
 func (c *calls) expire(now time.Time, limits Limits) {
 	for c.finished.length() > limits.Calls ||
-		c.finished.length() > 0 && now.Sub(c.finished.oldest().at) >= limits.CallAge {
+		c.finished.length() > 0 && now.Sub(c.finished.oldest().at) >= limits.CallTTL {
 		oldest := c.finished.oldest()
 		delete(c.states, oldest.item)
 		c.finished.drop()
--- a/node/deduplicator/codec.go
+++ b/node/deduplicator/codec.go
@@ -31,42 +31,43 @@
 	return set
 }
 
-// toGranted describes a grant but for its records. Times travel as ages, since
-// the clocks of two instances differ.
+// toGranted encodes a grant without its records. Times are sent as ages, since the
+// clocks of two instances differ.
 func toGranted(now time.Time, grant Grant) *Granted {
 	message := &Granted{
-		Granted: grant.Granted, Set: toProcesses(grant.Set), Joining: grant.Joining, Doubtful: grant.Doubtful,
+		Granted: grant.Granted, Set: toProcesses(grant.Set), Joining: grant.Joining, Doubtful: grant.HistoryIncomplete,
 	}
 	for _, past := range grant.Past {
-		message.Past = append(message.Past, &Past{Set: toProcesses(past.set), AgeMs: now.Sub(past.until).Milliseconds()})
+		message.Past = append(message.Past, &Past{Set: toProcesses(past.set), AgeMs: now.Sub(past.replacedAt).Milliseconds()})
 	}
-	for member, known := range grant.Seals {
+	for member, done := range grant.Handoffs {
 		message.Seals = append(message.Seals, &Sealed{
-			Member: toProcess(member), Set: toProcesses(known.set), AgeMs: now.Sub(known.at).Milliseconds(),
+			Member: toProcess(member), Set: toProcesses(done.set), AgeMs: now.Sub(done.at).Milliseconds(),
 		})
 	}
 	return message
 }
 
 func fromGranted(now time.Time, message *Granted) (Grant, error) {
-	if message == nil || len(message.GetPast()) > setsMax || len(message.GetSeals()) > setsMax {
+	if message == nil || len(message.GetPast()) > maxMemberSets || len(message.GetSeals()) > maxMemberSets {
 		return Grant{}, errProtocol
 	}
 	grant := Grant{
 		Granted: message.GetGranted(), Set: fromProcesses(message.GetSet()), Joining: message.GetJoining(),
-		Doubtful: message.GetDoubtful(), Seals: map[Member]seal{},
+		HistoryIncomplete: message.GetDoubtful(), Handoffs: map[Member]handoff{},
 	}
 	at := func(ageMs int64) time.Time { return now.Add(-time.Duration(max(0, ageMs)) * time.Millisecond) }
 	for _, past := range message.GetPast() {
-		grant.Past = append(grant.Past, members{set: fromProcesses(past.GetSet()), until: at(past.GetAgeMs())})
+		grant.Past = append(grant.Past, pastSet{set: fromProcesses(past.GetSet()), replacedAt: at(past.GetAgeMs())})
 	}
-	for _, known := range message.GetSeals() {
-		grant.Seals[fromProcess(known.GetMember())] = seal{set: fromProcesses(known.GetSet()), at: at(known.GetAgeMs())}
+	for _, sealed := range message.GetSeals() {
+		grant.Handoffs[fromProcess(sealed.GetMember())] = handoff{set: fromProcesses(sealed.GetSet()), at: at(sealed.GetAgeMs())}
 	}
 	return grant, nil
 }
 
-// writeRecords sends records in frames of bounded size.
+// writeRecords sends records in batches of bounded size. The last batch is marked
+// and may be empty.
 func writeRecords(stream net.Conn, records []Record) error {
 	batch, size := &Records{}, 0
 	for _, record := range records {
@@ -74,7 +75,7 @@
 			Key: []byte(record.Key.Name), Print: record.Key.Fingerprint,
 			Certain: record.Certain, Kept: record.Kept, Response: record.Response,
 		})
-		if size += len(record.Key.Name) + len(record.Response); size >= batchBytes || len(batch.Entries) >= batchCount {
+		if size += len(record.Key.Name) + len(record.Response); size >= maxBatchBytes || len(batch.Entries) >= maxBatchRecords {
 			if err := write(stream, &Frame{Kind: &Frame_Records{Records: batch}}); err != nil {
 				return err
 			}
@@ -85,7 +86,8 @@
 	return write(stream, &Frame{Kind: &Frame_Records{Records: batch}})
 }
 
-// readRecords reads up to the last batch; first is one that has been read.
+// readRecords reads batches of records up to the last one. first is a batch that
+// has been read already, or nil.
 func readRecords(stream net.Conn, first *Records) ([]Record, error) {
 	var records []Record
 	responses := 0
@@ -100,10 +102,10 @@
 		if batch.GetLast() {
 			return records, nil
 		}
-		if len(records) > Defaults.Keys+Defaults.Traces || responses > Defaults.Bytes {
+		if len(records) > Defaults.Keys+Defaults.Tombstones || responses > Defaults.Bytes {
 			return nil, errProtocol
 		}
-		frame, err := encoder.Read[Frame](stream, frameBytes)
+		frame, err := encoder.Read[Frame](stream, maxFrameBytes)
 		if err != nil {
 			return nil, err
 		}
--- a/node/deduplicator/deduplicator.go
+++ b/node/deduplicator/deduplicator.go
@@ -1,6 +1,6 @@
-// Package deduplicator keeps the records that make a request run at most once:
-// which calls started, which were refused, and what became of each idempotency
-// key.
+// Package deduplicator ensures that a request runs at most once. It records which
+// calls were started or refused and the outcome of each idempotency key, and
+// transfers the records of keys when their owner changes.
 package deduplicator
 
 import (
@@ -10,21 +10,21 @@
 	"sycamorerun"
 )
 
-// Reasons of a decision.
+// Reasons for a decision.
 const (
-	ReasonRefused   = "refused"
-	ReasonDuplicate = "duplicate"
-	ReasonOwner     = "key-elsewhere"
-	ReasonRunning   = "key-running"
-	ReasonRecorded  = "key-recorded"
-	ReasonForgotten = "key-response-gone"
-	ReasonUncertain = "key-uncertain"
-	ReasonMoved     = "key-moved"
-	ReasonFull      = "keys-full"
+	ReasonRefused         = "refused"
+	ReasonDuplicate       = "duplicate"
+	ReasonNotOwner        = "key-elsewhere"
+	ReasonRunning         = "key-running"
+	ReasonRecorded        = "key-recorded"
+	ReasonResponseDropped = "key-response-gone"
+	ReasonUncertain       = "key-uncertain"
+	ReasonMoved           = "key-moved"
+	ReasonFull            = "keys-full"
 )
 
-// Key is an idempotency key with its scope. Fingerprint identifies the request that
-// it stands for. The zero key means none.
+// Key is an idempotency key with its scope. Fingerprint identifies the request
+// that the key was first used for. The zero Key means that a call has none.
 type Key struct {
 	Name        string
 	Fingerprint uint64
@@ -37,7 +37,7 @@
 	Response []byte
 }
 
-// State is what is known of a call.
+// State is the state of a call as returned by Refuse.
 type State string
 
 // States of a call.
@@ -45,84 +45,92 @@
 	StateRefused  State = "refused"
 	StateStarted  State = "started"
 	StateFinished State = "finished"
-	// StateUnknown means that the call's record may have been dropped.
+	// StateUnknown means that the record of the call may have expired, or that
+	// there is no room for another refusal.
 	StateUnknown State = "unknown"
 )
 
-// Limits bound the records.
+// Limits bounds the number, size and age of records.
 type Limits struct {
-	// Calls is the number of finished calls on record, CallAge the time for
-	// which they stay.
+	// Calls is the maximum number of records of finished calls, CallTTL the time
+	// for which they are kept.
 	Calls   int
-	CallAge time.Duration
-	// Refusals is the number of refusals on record. A refusal stays for KeyTTL.
+	CallTTL time.Duration
+	// Refusals is the maximum number of recorded refusals. A refusal is kept for
+	// KeyTTL.
 	Refusals int
-	// Keys is the number of keys on record with their state, for KeyTTL.
+	// Keys is the maximum number of records of keys whose request has ended, KeyTTL
+	// the time for which they are kept.
 	Keys   int
 	KeyTTL time.Duration
-	// Bytes is the size of all recorded responses together.
+	// Bytes is the maximum total size of the recorded responses.
 	Bytes int
-	// Traces is the number of keys of which only the hash is still known, for
-	// Reach. They are answered as uncertain. When all are younger than KeyTTL, new
-	// keys are refused.
-	Traces int
-	Reach  time.Duration
+	// Tombstones is the maximum number of keys of which only the hash is kept, for
+	// TombstoneTTL. A call with such a key is uncertain. New keys are refused while
+	// there is no room and all tombstones are younger than KeyTTL.
+	Tombstones   int
+	TombstoneTTL time.Duration
 }
 
-// Defaults are limits for one upstream. At 320 calls/s, its share of 3.1 M
-// calls/s over 9,800 upstreams, a minute of calls is 19,200 records.
+// Defaults are the limits for one upstream. At 320 calls/s, its share of 3.1 M
+// calls/s over 9,800 upstreams, one minute of calls takes 19,200 records.
 var Defaults = Limits{
-	Calls: 32 << 10, CallAge: time.Minute, Refusals: 16 << 10,
+	Calls: 32 << 10, CallTTL: time.Minute, Refusals: 16 << 10,
 	Keys: 16 << 10, KeyTTL: 10 * time.Minute, Bytes: 8 << 20,
-	Traces: 128 << 10, Reach: 24 * time.Hour,
+	Tombstones: 128 << 10, TombstoneTTL: 24 * time.Hour,
 }
 
-// Deduplicator holds the records of one node.
+// Deduplicator holds the records of calls and keys of one node.
 type Deduplicator struct {
-	// Self is the name of this node's instance, Boot the random id
-	// of this process.
+	// Self is the name of this node's instance, Boot the random id of this
+	// process.
 	Self string
 	Boot int64
-	// HistoryComplete says that no call with a key can have been served before this
-	// process began. Otherwise another member, or an earlier process beside this
-	// upstream, may have run it, and unknown keys are uncertain for Limits.KeyTTL.
+	// HistoryComplete is set if each call with a key that ran before this process
+	// started or joined is known here or to a current member. Otherwise another
+	// member, or an earlier process beside this upstream, may have run it, and
+	// unknown keys are uncertain for Limits.KeyTTL.
 	HistoryComplete bool
 
 	mutex  sync.Mutex
 	limits Limits
-	began  time.Time
-	calls  calls
-	keys   keys
-	moves  moves
-	// debts are the members that got the keys of requests that still run, owed
-	// the records that they have to get since these ended.
-	debts map[string]Member
-	owed  map[Member][]Record
-	// wake signals that there are strangers, or records that are owed.
+	// recordsSince is the time since which all calls with keys are on record here.
+	recordsSince time.Time
+	calls        calls
+	keys         keys
+	membership   membership
+	// resultRecipients maps each key that was transferred while its request was
+	// running to its new owner. results are the records of such requests that have
+	// ended since, to be sent to the new owners.
+	resultRecipients map[string]Member
+	results          map[Member][]Record
+	// wake signals that there are unreconciled members or results to send.
 	wake chan struct{}
 }
 
-// New returns an empty deduplicator of a process that began at now.
+// New returns an empty deduplicator for a process that started at now.
 func New(now time.Time, limits Limits) *Deduplicator {
 	return &Deduplicator{
-		limits: limits, began: now,
-		calls: newCalls(now), keys: newKeys(), moves: newMoves(),
-		debts: map[string]Member{}, owed: map[Member][]Record{},
+		limits: limits, recordsSince: now,
+		calls: newCalls(now), keys: newKeys(), membership: newMembership(),
+		resultRecipients: map[string]Member{}, results: map[Member][]Record{},
 		wake: make(chan struct{}, 1),
 	}
 }
 
-// StartClean ends a join in a fleet in which no call with a key can have run.
+// StartClean completes a join without grants. It is for a fleet in which no call
+// with a key can have run yet.
 func (d *Deduplicator) StartClean() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.HistoryComplete = true
-	d.moves.left, d.moves.joining, d.moves.joined = false, false, true
-	clear(d.moves.strangers)
-	d.moves.known, d.moves.past, d.moves.blind = false, nil, time.Time{}
+	d.membership.left, d.membership.joining, d.membership.joined = false, false, true
+	clear(d.membership.unreconciled)
+	d.membership.membersKnown, d.membership.past, d.membership.uncertainUntil = false, nil, time.Time{}
 }
 
-// Begin claims the execution of the call id, and of the key if there is one.
+// Begin decides whether the call id may run, and records it as started if so. A
+// call with a key runs only if no earlier one with the same key may have run.
 func (d *Deduplicator) Begin(now time.Time, id string, key Key) sycamorerun.Decision {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -140,16 +148,17 @@
 	return sycamorerun.Decision{Verdict: sycamorerun.VerdictRun}
 }
 
-// checkKey decides about a call with a key. A known key outranks a change of
-// the members, which only matters for what this node can't know.
+// checkKey decides whether a call with a key may run. Ownership and membership
+// changes are only considered for keys without a record here, since for those
+// another member may hold the record.
 func (d *Deduplicator) checkKey(now time.Time, key Key) sycamorerun.Decision {
 	if decision, known := d.keys.check(key); known {
 		return decision
 	}
 	if !d.owns(now, key.Name) {
-		return sycamorerun.Decision{Verdict: sycamorerun.VerdictRefused, Reason: ReasonOwner}
+		return sycamorerun.Decision{Verdict: sycamorerun.VerdictRefused, Reason: ReasonNotOwner}
 	}
-	if d.moved(now, key.Name) {
+	if d.mayHaveRunElsewhere(now, key.Name) {
 		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonMoved}
 	}
 	if d.keys.full(now, d.limits) {
@@ -158,20 +167,20 @@
 	return sycamorerun.Decision{Verdict: sycamorerun.VerdictRun}
 }
 
-// Finish records the end of a call that Begin let run.
+// Finish records the result of a call that Begin allowed to run.
 func (d *Deduplicator) Finish(now time.Time, id string, key Key, result Result) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.calls.finish(now, id, result.Result)
 	if key.Name != "" {
 		d.keys.finish(now, key, result)
-		d.settle(key.Name)
+		d.queueResult(key.Name)
 	}
 	d.expire(now)
 }
 
-// Refuse returns the state of a call that was opened at most age ago. A call
-// that was not seen is refused: if it arrives later, Begin turns it away.
+// Refuse returns the state of a call that was opened at most age ago. If the call
+// has not arrived yet, Refuse records a refusal, so that Begin refuses it later.
 func (d *Deduplicator) Refuse(now time.Time, id string, age time.Duration) State {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/node/deduplicator/deduplicator_test.go
+++ b/node/deduplicator/deduplicator_test.go
@@ -12,12 +12,12 @@
 
 var start = time.Unix(1000, 0)
 
-var small = Limits{
-	Calls: 4, CallAge: time.Minute, Refusals: 3, Keys: 4, KeyTTL: 10 * time.Minute,
-	Bytes: 10, Traces: 6, Reach: time.Hour,
+var smallLimits = Limits{
+	Calls: 4, CallTTL: time.Minute, Refusals: 3, Keys: 4, KeyTTL: 10 * time.Minute,
+	Bytes: 10, Tombstones: 6, TombstoneTTL: time.Hour,
 }
 
-func clean(limits Limits) *Deduplicator {
+func newClean(limits Limits) *Deduplicator {
 	d := New(start, limits)
 	d.Self, d.Boot = "a", 1
 	d.StartClean()
@@ -28,14 +28,14 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// Guards "not run" and "at most once" for calls by id: what is told of a call,
-// and whether its original still runs after that.
+// Guards against a call that runs although Refuse reported that it does not run, and
+// against a second run of a call that has started.
 func TestCalls(t *testing.T) {
 	cases := map[string]struct {
 		prepare func(d *Deduplicator)
 		age     time.Duration
 		state   State
-		then    sycamorerun.Verdict
+		verdict sycamorerun.Verdict
 	}{
 		"never seen": {func(*Deduplicator) {}, time.Second, StateRefused, sycamorerun.VerdictRefused},
 		"started":    {func(d *Deduplicator) { d.Begin(at(time.Minute), "x", Key{}) }, time.Second, StateStarted, sycamorerun.VerdictUncertain},
@@ -71,19 +71,19 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := clean(small)
+			d := newClean(smallLimits)
 			c.prepare(d)
 			is.Equal(d.Refuse(at(time.Minute), "x", c.age), c.state)
-			is.Equal(d.Begin(at(time.Minute), "x", Key{}).Verdict, c.then)
+			is.Equal(d.Begin(at(time.Minute), "x", Key{}).Verdict, c.verdict)
 		})
 	}
 }
 
-// Guards against records that grow without bound, and a call in progress
-// against losing its record to many others.
+// Guards against records that grow without bound, and against the loss of the record
+// of a running call when many other calls follow.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	d := clean(small)
+	d := newClean(smallLimits)
 	d.Begin(start, "long", Key{Name: "long"})
 	for n := range 1000 {
 		id := fmt.Sprint(n)
@@ -92,17 +92,17 @@
 		d.Begin(now, id, Key{Name: id})
 		d.Finish(now, id, Key{Name: id}, answered)
 	}
-	is.True(len(d.calls.states) <= 1+small.Calls+small.Refusals)
-	is.True(len(d.keys.records) <= 1+small.Keys)
-	is.True(len(d.keys.traces) <= small.Traces)
-	is.True(d.keys.bytes <= small.Bytes)
-	is.True(d.keys.kept.length() <= small.Keys)
+	is.True(len(d.calls.states) <= 1+smallLimits.Calls+smallLimits.Refusals)
+	is.True(len(d.keys.records) <= 1+smallLimits.Keys)
+	is.True(len(d.keys.tombstones) <= smallLimits.Tombstones)
+	is.True(d.keys.responseBytes <= smallLimits.Bytes)
+	is.True(d.keys.responses.length() <= smallLimits.Keys)
 	is.Equal(d.Refuse(at(time.Hour), "long", time.Hour), StateStarted)
 	is.Equal(d.Begin(at(time.Hour), "2", Key{Name: "long"}).Verdict, sycamorerun.VerdictUncertain)
 }
 
-// Guards a booking against a second run under its key, in each state that the
-// key can be in and beyond the bounds of its record.
+// Guards against a second run of a request with the same key, in each state of the key
+// and after its record has been shortened or dropped.
 func TestKeys(t *testing.T) {
 	key := Key{Name: "k", Fingerprint: 1}
 	run := func(d *Deduplicator, result Result) {
@@ -123,18 +123,18 @@
 		"another request":      {func(d *Deduplicator) { run(d, answered) }, Key{Name: "k", Fingerprint: 2}, 0, sycamorerun.VerdictMismatch, ReasonUncertain},
 		"not run":              {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.NotRun}) }, key, 0, sycamorerun.VerdictRun, ""},
 		"unknown":              {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.Unknown}) }, key, 0, sycamorerun.VerdictUncertain, ReasonUncertain},
-		"response too large":   {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.Answered}) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
-		"beyond the age":       {func(d *Deduplicator) { run(d, answered) }, key, small.KeyTTL, sycamorerun.VerdictUncertain, ReasonForgotten},
-		"beyond the bytes":     {func(d *Deduplicator) { run(d, answered); fill(d, 2) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
-		"beyond the count":     {func(d *Deduplicator) { run(d, answered); fill(d, 5) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
-		"beyond every record":  {func(d *Deduplicator) { run(d, answered); fill(d, 20) }, key, 0, sycamorerun.VerdictUncertain, ReasonForgotten},
+		"response too large":   {func(d *Deduplicator) { run(d, Result{Result: sycamorerun.Answered}) }, key, 0, sycamorerun.VerdictUncertain, ReasonResponseDropped},
+		"beyond the age":       {func(d *Deduplicator) { run(d, answered) }, key, smallLimits.KeyTTL, sycamorerun.VerdictUncertain, ReasonResponseDropped},
+		"beyond the bytes":     {func(d *Deduplicator) { run(d, answered); fill(d, 2) }, key, 0, sycamorerun.VerdictUncertain, ReasonResponseDropped},
+		"beyond the count":     {func(d *Deduplicator) { run(d, answered); fill(d, 5) }, key, 0, sycamorerun.VerdictUncertain, ReasonResponseDropped},
+		"beyond every record":  {func(d *Deduplicator) { run(d, answered); fill(d, 20) }, key, 0, sycamorerun.VerdictUncertain, ReasonResponseDropped},
 		"no room for a record": {func(d *Deduplicator) { fill(d, 20) }, key, 0, sycamorerun.VerdictRefused, ReasonFull},
-		"room again":           {func(d *Deduplicator) { fill(d, 20) }, key, small.KeyTTL, sycamorerun.VerdictRun, ""},
+		"room again":           {func(d *Deduplicator) { fill(d, 20) }, key, smallLimits.KeyTTL, sycamorerun.VerdictRun, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := clean(small)
+			d := newClean(smallLimits)
 			c.prepare(d)
 			decision := d.Begin(at(c.now), "y", c.key)
 			is.Equal(decision.Verdict, c.verdict)
@@ -152,85 +152,85 @@
 	}
 }
 
-// Guards a booking against a second run at another node after the members
-// changed, and keys that did not change hands against needless refusals.
-func TestMoved(t *testing.T) {
+// Guards against a second run of a request at another node after a membership change,
+// and against needless refusals of keys whose owner did not change.
+func TestMemberChange(t *testing.T) {
 	is := is.New(t)
-	d := clean(small)
-	all, rest := set("a", "b", "c"), set("a", "c")
-	own, inherited, foreign := find(t, "a", "a"), find(t, "b", "a"), find(t, "c", "c")
+	d := newClean(smallLimits)
+	all, rest := memberSet("a", "b", "c"), memberSet("a", "c")
+	own, inherited, foreign := findKey(t, "a", "a"), findKey(t, "b", "a"), findKey(t, "c", "c")
 	d.SetMembers(start, all, all)
-	is.Equal(d.Begin(start, "1", Key{Name: inherited}).Reason, ReasonOwner)
+	is.Equal(d.Begin(start, "1", Key{Name: inherited}).Reason, ReasonNotOwner)
 	d.SetMembers(start, rest, rest)
 	is.Equal(d.Begin(start, "2", Key{Name: own}).Verdict, sycamorerun.VerdictRun)
 	is.Equal(d.Begin(start, "3", Key{Name: inherited}), sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonMoved})
-	is.Equal(d.Begin(start, "4", Key{Name: foreign}), sycamorerun.Decision{Verdict: sycamorerun.VerdictRefused, Reason: ReasonOwner})
-	is.Equal(d.Begin(at(small.KeyTTL), "5", Key{Name: inherited}).Verdict, sycamorerun.VerdictRun)
+	is.Equal(d.Begin(start, "4", Key{Name: foreign}), sycamorerun.Decision{Verdict: sycamorerun.VerdictRefused, Reason: ReasonNotOwner})
+	is.Equal(d.Begin(at(smallLimits.KeyTTL), "5", Key{Name: inherited}).Verdict, sycamorerun.VerdictRun)
 
-	restarted := New(start, small)
+	restarted := New(start, smallLimits)
 	restarted.Self, restarted.Boot = "a", 1
 	restarted.SetMembers(start, all, all)
-	is.Equal(restarted.Begin(at(small.KeyTTL-1), "1", Key{Name: own}).Reason, ReasonMoved)
-	is.Equal(restarted.Begin(at(small.KeyTTL), "2", Key{Name: own}).Verdict, sycamorerun.VerdictRun)
+	is.Equal(restarted.Begin(at(smallLimits.KeyTTL-1), "1", Key{Name: own}).Reason, ReasonMoved)
+	is.Equal(restarted.Begin(at(smallLimits.KeyTTL), "2", Key{Name: own}).Verdict, sycamorerun.VerdictRun)
 
-	busy := clean(small)
-	for n := range 2*setsMax + 1 {
-		busy.SetMembers(start, [][]Member{all, rest}[n%2], all)
+	flapping := newClean(smallLimits)
+	for n := range 2*maxMemberSets + 1 {
+		flapping.SetMembers(start, [][]Member{all, rest}[n%2], all)
 	}
-	is.True(len(busy.moves.past) <= setsMax)
-	is.Equal(busy.Begin(at(time.Minute), "1", Key{Name: own}).Reason, ReasonMoved)
+	is.True(len(flapping.membership.past) <= maxMemberSets)
+	is.Equal(flapping.Begin(at(time.Minute), "1", Key{Name: own}).Reason, ReasonMoved)
 }
 
-// Guards against a restarted member that makes every key unknown for the age: it
-// asks for its keys before it is announced, and is not gone meanwhile.
-func TestStrangerNotAnnounced(t *testing.T) {
+// Guards against a restarted member that makes every key uncertain for KeyTTL. It
+// requests its keys before it is announced, and must not count as gone until then.
+func TestReconcileBeforeAnnouncement(t *testing.T) {
 	cases := map[string]struct {
-		announced [][]Member
-		met       bool
-		reason    string
+		announced  [][]Member
+		reconciled bool
+		reason     string
 	}{
-		"met before it is announced": {[][]Member{set("a", "b")}, true, ""},
-		"not met yet":                {[][]Member{set("a", "b")}, false, ReasonMoved},
-		"announced and gone":         {[][]Member{append(set("a", "b"), Member{"c", 2}), set("a", "b")}, true, ReasonMoved},
+		"met before it is announced": {[][]Member{memberSet("a", "b")}, true, ""},
+		"not met yet":                {[][]Member{memberSet("a", "b")}, false, ReasonMoved},
+		"announced and gone":         {[][]Member{append(memberSet("a", "b"), Member{"c", 2}), memberSet("a", "b")}, true, ReasonMoved},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := clean(small)
+			d := newClean(smallLimits)
 			restarted := Member{"c", 2}
-			d.SetMembers(start, set("a", "b", "c"), set("a", "b", "c"))
-			is.True(d.Grant(start, restarted, 1, set("a", "b", "c"), true).Granted)
+			d.SetMembers(start, memberSet("a", "b", "c"), memberSet("a", "b", "c"))
+			is.True(d.Grant(start, restarted, 1, memberSet("a", "b", "c"), true).Granted)
 			for _, announced := range c.announced {
 				d.SetMembers(start, announced, announced)
 			}
-			if c.met {
-				d.Meet(start, map[Member]Grant{restarted: {Granted: true}})
+			if c.reconciled {
+				d.Reconcile(start, map[Member]Grant{restarted: {Granted: true}})
 			}
-			is.Equal(d.Begin(start, "1", Key{Name: find(t, "a", "a")}).Reason, c.reason)
+			is.Equal(d.Begin(start, "1", Key{Name: findKey(t, "a", "a")}).Reason, c.reason)
 		})
 	}
 }
 
-// Guards against a restarted member that knew nobody at first and passes that on,
-// so that every key counts as moved at all members.
+// Guards against a restarted member that had no members at first and sends this empty
+// set to the others, so that every key is uncertain at all members.
 func TestEmptySet(t *testing.T) {
 	is := is.New(t)
-	restarted := New(start, small)
+	restarted := New(start, smallLimits)
 	restarted.Self, restarted.Boot = "c", 2
 	restarted.SetMembers(start, nil, nil)
-	restarted.SetMembers(start, set("a", "b"), set("a", "b"))
-	d := clean(small)
-	d.SetMembers(start, set("a", "b"), set("a", "b"))
-	all := append(set("a", "b"), restarted.member())
+	restarted.SetMembers(start, memberSet("a", "b"), memberSet("a", "b"))
+	d := newClean(smallLimits)
+	d.SetMembers(start, memberSet("a", "b"), memberSet("a", "b"))
+	all := append(memberSet("a", "b"), restarted.member())
 	d.SetMembers(start, all, all)
 	grant := restarted.Grant(start, d.member(), 1, all, true)
 	is.True(grant.Granted)
-	d.Meet(start, map[Member]Grant{restarted.member(): grant})
-	is.Equal(d.Begin(start, "1", Key{Name: find(t, "a", "a")}).Verdict, sycamorerun.VerdictRun)
+	d.Reconcile(start, map[Member]Grant{restarted.member(): grant})
+	is.Equal(d.Begin(start, "1", Key{Name: findKey(t, "a", "a")}).Verdict, sycamorerun.VerdictRun)
 }
 
-// set returns members of one incarnation.
-func set(names ...string) []Member {
+// memberSet returns members of the same boot id.
+func memberSet(names ...string) []Member {
 	members := make([]Member, len(names))
 	for i, name := range names {
 		members[i] = Member{Name: name, Boot: 1}
@@ -238,14 +238,15 @@
 	return members
 }
 
-// find returns a key that before owns among a, b and c, and after without b.
-func find(t *testing.T, before, after string) string {
+// findKey returns a key whose owner is before among a, b and c, and after among a and
+// c.
+func findKey(t *testing.T, before, after string) string {
 	for n := range 1000 {
 		key := fmt.Sprint("key", n)
 		if Owner(key, []string{"a", "b", "c"}) == before && Owner(key, []string{"c", "a"}) == after {
 			return key
 		}
 	}
-	t.Fatal("no such key")
+	t.Fatal("no key has these owners before and after the change")
 	return ""
 }
--- a/node/deduplicator/exchange_test.go
+++ b/node/deduplicator/exchange_test.go
@@ -23,63 +23,64 @@
 	"sycamorerun/encoder"
 )
 
-// process is one process of a service, with its own view of the others.
+// process is a process of a service with its own view of the members.
 type process struct {
 	*Exchanger
 	member  Member
 	view    []Member
 	serving bool
-	dead    bool
+	crashed bool
 }
 
 // service is a set of processes that exchange keys over pipes.
 type service struct {
 	now       time.Time
 	processes map[string]*process
-	// unreachable are the names that can't be reached by others.
+	// unreachable holds the names of the processes to which no stream can be opened.
 	unreachable map[string]bool
 	executed    map[string]int
 	calls       int
-	// serving are the exchanges that a process answers.
-	serving sync.WaitGroup
-	// patience bounds an exchange, and is short while somebody can't be reached.
-	patience time.Duration
+	// exchanges counts the exchanges that are being served.
+	exchanges sync.WaitGroup
+	// exchangeTimeout bounds an exchange. While a process is unreachable,
+	// shortTimeout is used instead.
+	exchangeTimeout time.Duration
 }
 
-func (s *service) limited() (context.Context, context.CancelFunc) {
-	limit := s.patience
+func (s *service) exchangeContext() (context.Context, context.CancelFunc) {
+	timeout := s.exchangeTimeout
 	for _, unreachable := range s.unreachable {
 		if unreachable {
-			limit = short
+			timeout = shortTimeout
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	return ctx, func() {
 		cancel()
-		s.serving.Wait()
+		s.exchanges.Wait()
 	}
 }
 
-const short = 30 * time.Millisecond
+const shortTimeout = 30 * time.Millisecond
 
 func newService(names ...string) *service {
 	s := &service{
 		now: start, processes: map[string]*process{}, unreachable: map[string]bool{}, executed: map[string]int{},
-		patience: 10 * time.Second,
+		exchangeTimeout: 10 * time.Second,
 	}
 	for _, name := range names {
-		s.begin(name).Records.StartClean()
+		s.startProcess(name).Records.StartClean()
 		s.processes[name].serving = true
 	}
 	s.announce()
 	return s
 }
 
-// begin starts a new process under a name.
-func (s *service) begin(name string) *process {
+// startProcess starts a new process with the given name.
+func (s *service) startProcess(name string) *process {
 	s.now = s.now.Add(time.Millisecond)
 	p := &process{member: Member{name, s.now.UnixNano()}}
-	records := New(s.now, Limits{Calls: 1000, CallAge: time.Minute, Refusals: 100, Keys: 1000, KeyTTL: 10 * time.Minute, Bytes: 1 << 20, Traces: 1000, Reach: time.Hour})
+	records := New(s.now, Limits{Calls: 1000, CallTTL: time.Minute, Refusals: 100, Keys: 1000, KeyTTL: 10 * time.Minute, Bytes: 1 << 20, Tombstones: 1000, TombstoneTTL: time.Hour})
 	records.Self, records.Boot = name, p.member.Boot
 	p.Exchanger = &Exchanger{
 		Records: records, Logger: log.NewNopLogger(),
@@ -88,23 +89,23 @@
 		Members: func() []Member { return without(p.view, name) },
 		Open: func(_ context.Context, to string) (net.Conn, error) {
 			peer := s.processes[to]
-			if peer == nil || peer.dead || s.unreachable[to] {
+			if peer == nil || peer.crashed || s.unreachable[to] {
 				return nil, errors.New("connection refused")
 			}
-			near, far := net.Pipe()
-			s.serving.Go(func() { peer.Serve(name, far) })
-			return near, nil
+			client, server := net.Pipe()
+			s.exchanges.Go(func() { peer.Serve(name, server) })
+			return client, nil
 		},
 	}
 	s.processes[name] = p
 	return p
 }
 
-// announced returns the members that serve.
+// announced returns the members that serve, sorted by name.
 func (s *service) announced() []Member {
 	var all []Member
 	for _, p := range s.processes {
-		if p.serving && !p.dead {
+		if p.serving && !p.crashed {
 			all = append(all, p.member)
 		}
 	}
@@ -112,44 +113,46 @@
 	return all
 }
 
-// announce tells all processes, or the named ones, which members serve.
+// announce updates the views of all processes, or of the named ones, to the members
+// that serve.
 func (s *service) announce(names ...string) {
 	for name, p := range s.processes {
-		if !p.dead && (len(names) == 0 || slices.Contains(names, name)) {
-			s.see(name, s.announced())
+		if !p.crashed && (len(names) == 0 || slices.Contains(names, name)) {
+			s.setView(name, s.announced())
 		}
 	}
 }
 
-// live returns the processes that run, but for those that see does not name
-// although they serve: these are out of reach.
+// live returns the live processes in a view. A process that serves but is missing in
+// the view is unreachable from there and thus not live.
 func (s *service) live(view []Member) []Member {
 	live := slices.Clone(view)
 	for _, p := range s.processes {
-		if !p.dead && !p.serving {
+		if !p.crashed && !p.serving {
 			live = append(live, p.member)
 		}
 	}
 	return live
 }
 
-// see gives a process a view of the members that serve.
-func (s *service) see(name string, view []Member) {
+// setView sets the view of a process of the members that serve.
+func (s *service) setView(name string, view []Member) {
 	p := s.processes[name]
 	p.view = view
 	p.Records.SetMembers(s.now, view, s.live(view))
-	ctx, cancel := s.limited()
+	ctx, cancel := s.exchangeContext()
 	defer cancel()
-	p.Meet(ctx)
+	p.Reconcile(ctx)
 }
 
-// separate gives each side of a partition a view of its own.
-func (s *service) separate(sides ...string) {
+// partition sets the views of the processes on each side of a network partition. Each
+// character of a side is the name of a process.
+func (s *service) partition(sides ...string) {
 	all := s.announced()
 	for _, side := range sides {
 		for _, name := range strings.Split(side, "") {
-			other := func(member Member) bool { return !strings.Contains(side, member.Name) }
-			s.see(name, slices.DeleteFunc(slices.Clone(all), other))
+			otherSide := func(member Member) bool { return !strings.Contains(side, member.Name) }
+			s.setView(name, slices.DeleteFunc(slices.Clone(all), otherSide))
 		}
 	}
 }
@@ -157,7 +160,7 @@
 func (s *service) join(name string) bool {
 	p := s.processes[name]
 	p.view = s.announced()
-	ctx, cancel := s.limited()
+	ctx, cancel := s.exchangeContext()
 	defer cancel()
 	complete := p.Join(ctx)
 	p.serving = true
@@ -165,7 +168,7 @@
 }
 
 func (s *service) leave(name string) bool {
-	ctx, cancel := s.limited()
+	ctx, cancel := s.exchangeContext()
 	defer cancel()
 	p := s.processes[name]
 	p.serving = false
@@ -174,16 +177,15 @@
 
 func (s *service) crash(names ...string) {
 	for _, name := range names {
-		s.processes[name].dead = true
+		s.processes[name].crashed = true
 	}
 }
 
-// call sends a call with a key to the process that owns it in the process's
-// own view, and executes it if that may start.
+// call runs callAt for the first serving process that owns the key in its own view.
 func (s *service) call(key string) sycamorerun.Decision {
 	for _, name := range []string{"a", "b", "c", "d"} {
 		p := s.processes[name]
-		if p == nil || p.dead || !p.serving || ownerIn(key, p.view).Name != name {
+		if p == nil || p.crashed || !p.serving || ownerIn(key, p.view).Name != name {
 			continue
 		}
 		return s.callAt(p, key)
@@ -191,6 +193,7 @@
 	return sycamorerun.Decision{Verdict: sycamorerun.VerdictRefused}
 }
 
+// callAt sends a call with a key to p and runs it if p allows it.
 func (s *service) callAt(p *process, key string) sycamorerun.Decision {
 	s.calls++
 	id := fmt.Sprint(s.calls)
@@ -202,11 +205,11 @@
 	return decision
 }
 
-// Guards the keys of a service against a second run, and against needless
-// uncertainty, when its members come and go.
+// Guards against a second run of a request, and against needless uncertainty, when
+// members join, leave or crash.
 func TestHandOver(t *testing.T) {
 	start := func(s *service, name string) bool {
-		s.begin(name)
+		s.startProcess(name)
 		joined := s.join(name)
 		s.announce()
 		return joined
@@ -219,8 +222,9 @@
 	}
 	cases := map[string]struct {
 		change func(s *service) bool
-		// complete is what change reports. lost are the names whose earlier
-		// keys may be uncertain afterwards; all other keys are known.
+		// complete is the expected result of change. lost are the names of the
+		// members whose earlier keys may be uncertain afterwards. All other keys have
+		// to be recorded.
 		complete bool
 		lost     string
 	}{
@@ -232,8 +236,8 @@
 		}, true, ""},
 		"a new member": {func(s *service) bool { return start(s, "d") }, true, ""},
 		"two new members at once": {func(s *service) bool {
-			s.begin("d").view, s.begin("e").view = s.announced(), s.announced()
-			ctx, cancel := s.limited()
+			s.startProcess("d").view, s.startProcess("e").view = s.announced(), s.announced()
+			ctx, cancel := s.exchangeContext()
 			defer cancel()
 			joined := make(chan bool, 2)
 			for _, name := range []string{"d", "e"} {
@@ -248,7 +252,7 @@
 		"crash and restart": {func(s *service) bool { s.crash("b"); return start(s, "b") }, true, "b"},
 		"crash unnoticed": {func(s *service) bool {
 			s.crash("b")
-			s.begin("b").view = without(s.announced(), "b")
+			s.startProcess("b").view = without(s.announced(), "b")
 			ok := s.join("b")
 			s.announce()
 			return ok
@@ -268,7 +272,7 @@
 			s.leave("b")
 			s.announce()
 			s.crash("b")
-			s.begin("b")
+			s.startProcess("b")
 			s.unreachable["c"] = true
 			ok := s.join("b")
 			s.announce()
@@ -290,7 +294,7 @@
 			ok := s.join("b")
 			s.announce()
 			for _, name := range []string{"a", "c"} {
-				s.processes[name].Records.Seal(s.now, b, 0, rest)
+				s.processes[name].Records.RecordHandoff(s.now, b, 0, rest)
 			}
 			s.crash("b")
 			s.announce()
@@ -347,19 +351,19 @@
 				}
 				is.Equal(s.executed[key], 1)
 			}
-			unsure := 0
+			uncertain := 0
 			for n := range 90 {
 				decision := s.call(fmt.Sprint("new", n))
 				if decision.Verdict == sycamorerun.VerdictUncertain {
-					unsure++
+					uncertain++
 				}
 			}
-			is.Equal(unsure > 0, c.lost != "")
+			is.Equal(uncertain > 0, c.lost != "")
 		})
 	}
 }
 
-// Guards single steps of a hand-over against being taken too early or too late.
+// Guards against single steps of a handoff that happen too early or too late.
 func TestHandOverSteps(t *testing.T) {
 	cases := map[string]func(is *is.I, s *service, a, b *process){
 		"a member that the joiner does not see keeps its keys": func(is *is.I, s *service, a, b *process) {
@@ -369,23 +373,23 @@
 		},
 		"a joiner starts nothing": func(is *is.I, s *service, a, _ *process) {
 			key := ownedBy(s, "a")
-			a.Records.Prepare(s.now)
+			a.Records.BeginJoin(s.now)
 			is.Equal(s.callAt(a, key).Verdict, sycamorerun.VerdictRefused)
 		},
 		"a seal ends with the next grant": func(is *is.I, s *service, a, b *process) {
-			key := find(t, "b", "a")
+			key := findKey(t, "b", "a")
 			is.True(s.leave("b"))
 			s.announce()
 			is.True(a.Records.Grant(s.now, b.member, 1, s.announced(), false).Granted)
-			s.now = s.now.Add(joinAge) // b may have executed the key and is gone
+			s.now = s.now.Add(joinerTTL) // b may have run a call with the key and is gone
 			is.Equal(s.callAt(a, key).Verdict, sycamorerun.VerdictUncertain)
 		},
 		"a seal ends when its member is announced again": func(is *is.I, s *service, a, b *process) {
-			key := find(t, "b", "a")
+			key := findKey(t, "b", "a")
 			is.True(s.leave("b"))
 			s.announce()
-			b.serving = true // it could not ask for its keys
-			s.patience = short
+			b.serving = true // without having requested its keys
+			s.exchangeTimeout = shortTimeout
 			s.announce()
 			s.crash("b")
 			s.announce()
@@ -413,18 +417,18 @@
 			is.Equal(s.callAt(a, ownedBy(s, "a")).Verdict, sycamorerun.VerdictUncertain)
 		},
 		"keys that ran in a long partition": func(is *is.I, s *service, a, b *process) {
-			s.separate("a", "bc")
-			s.now = s.now.Add(11 * time.Minute) // what was lost then is no longer in doubt
+			s.partition("a", "bc")
+			s.now = s.now.Add(11 * time.Minute) // longer than KeyTTL, so that no record lost before makes a key uncertain
 			key := ownedBy(s, "a")
 			is.Equal(s.callAt(b, key).Verdict+s.callAt(s.processes["c"], key).Verdict, sycamorerun.VerdictRun+sycamorerun.VerdictRefused)
-			for _, name := range []string{"b", "c", "a"} { // a is asked before it notices
-				s.see(name, s.announced())
+			for _, name := range []string{"b", "c", "a"} { // a serves requests of b and c before it sees them
+				s.setView(name, s.announced())
 			}
 			is.Equal(s.callAt(a, key).Verdict, sycamorerun.VerdictRecorded)
 			is.Equal(s.callAt(a, "new-"+ownedBy(s, "a")).Verdict == sycamorerun.VerdictUncertain, false)
 		},
 		"a stranger that can't be asked": func(is *is.I, s *service, a, _ *process) {
-			s.separate("a", "bc")
+			s.partition("a", "bc")
 			s.now = s.now.Add(11 * time.Minute)
 			s.unreachable["b"] = true
 			s.announce("a")
@@ -434,22 +438,22 @@
 			is.Equal(s.callAt(a, ownedBy(s, "a")).Verdict, sycamorerun.VerdictUncertain)
 		},
 		"a stranger that is gone before it answers": func(is *is.I, s *service, a, _ *process) {
-			s.separate("a", "bc")
+			s.partition("a", "bc")
 			s.now = s.now.Add(11 * time.Minute)
 			s.unreachable["b"], s.unreachable["c"] = true, true
 			s.announce("a")
-			s.separate("a", "bc")
+			s.partition("a", "bc")
 			is.Equal(s.callAt(a, ownedBy(s, "a")).Verdict, sycamorerun.VerdictUncertain)
 			s.now = s.now.Add(11 * time.Minute)
 			is.Equal(s.callAt(a, ownedBy(s, "a")).Verdict, sycamorerun.VerdictRun)
 		},
 		"a stranger that stops serving for a moment": func(is *is.I, s *service, a, b *process) {
-			s.separate("a", "bc")
+			s.partition("a", "bc")
 			s.now = s.now.Add(11 * time.Minute)
 			s.unreachable["b"] = true
 			s.announce("a")
-			b.serving = false // its upstream was silent
-			s.see("b", []Member{s.processes["c"].member})
+			b.serving = false // its upstream did not respond
+			s.setView("b", []Member{s.processes["c"].member})
 			s.announce("a")
 			is.Equal(s.callAt(a, ownedBy(s, "a")).Verdict, sycamorerun.VerdictUncertain)
 			s.unreachable["b"] = false
@@ -458,8 +462,8 @@
 			is.Equal(s.callAt(a, ownedBy(s, "a")).Verdict, sycamorerun.VerdictRun)
 		},
 		"a process that saw nobody for a moment": func(is *is.I, s *service, a, b *process) {
-			s.separate("a", "bc")
-			s.see("b", nil)
+			s.partition("a", "bc")
+			s.setView("b", nil)
 			s.now = s.now.Add(time.Second)
 			s.announce("b")
 			s.announce()
@@ -469,7 +473,7 @@
 		"two partitions, one after the other": func(is *is.I, s *service, _, b *process) {
 			key := ownedBy(s, "a")
 			for _, name := range []string{key + "-1", key + "-2"} {
-				s.separate("a", "bc")
+				s.partition("a", "bc")
 				s.now = s.now.Add(11 * time.Minute)
 				for _, p := range []*process{b, s.processes["c"]} {
 					s.callAt(p, name)
@@ -484,31 +488,31 @@
 			is.True(s.join("b"))
 			s.unreachable["b"] = true
 			s.announce()
-			is.Equal(len(s.processes["a"].Records.Strangers()), 0)
+			is.Equal(len(s.processes["a"].Records.Unreconciled()), 0)
 		},
 		"a process that has not joined asks nobody": func(is *is.I, s *service, a, _ *process) {
 			s.crash("b")
 			s.announce()
-			s.begin("b")
-			s.see("b", []Member{a.member})
-			s.see("b", s.announced()) // it gets to know the members one by one
+			s.startProcess("b")
+			s.setView("b", []Member{a.member})
+			s.setView("b", s.announced()) // it learns of the members one by one
 			for _, name := range []string{"a", "c"} {
-				is.Equal(len(s.processes[name].Records.moves.joiners), 0) // nobody keeps its keys for it
+				is.Equal(len(s.processes[name].Records.membership.joiners), 0) // no member has granted it its keys
 			}
 		},
 		"another service": func(is *is.I, s *service, a, _ *process) {
 			a.Service = func() string { return "other" }
 			is.True(s.leave("b"))
 			s.announce()
-			s.patience = short
+			s.exchangeTimeout = shortTimeout
 			is.True(!s.join("b"))
 		},
 		"a process that speaks for another": func(is *is.I, _ *service, a, b *process) {
-			near, far := net.Pipe()
-			go a.Serve("c", far)
-			is.NoErr(write(near, &Frame{Kind: &Frame_Sealed{Sealed: &Sealed{Member: toProcess(b.member)}}}))
-			is.True(readDone(near) != nil)
-			is.Equal(len(a.Records.moves.seals), 0)
+			client, server := net.Pipe()
+			go a.Serve("c", server)
+			is.NoErr(write(client, &Frame{Kind: &Frame_Sealed{Sealed: &Sealed{Member: toProcess(b.member)}}}))
+			is.True(readDone(client) != nil)
+			is.Equal(len(a.Records.membership.handoffs), 0)
 		},
 	}
 	for name, run := range cases {
@@ -519,10 +523,10 @@
 	}
 }
 
-// Guards against a joiner that relies on a member that it did not ask: one
-// that has left since it was last announced here, and got the key back from
-// another one that had not noticed either. Found by seed 137 of
-// TestHandOverAtRandom.
+// Guards against a joiner that relies on a member from which it did not request its
+// keys. That member had left since it was last announced to the joiner, and had got
+// the key back from another member that had not learned of this either. Found with
+// seed 137 of TestHandOverAtRandom.
 func TestJoinWithStaleView(t *testing.T) {
 	is := is.New(t)
 	s := newService("a", "b", "c", "d")
@@ -543,12 +547,12 @@
 	is.Equal(s.callAt(s.processes["c"], key).Verdict, sycamorerun.VerdictUncertain)
 }
 
-// Guards the results of requests that still run when their keys change hands:
-// without them a repetition at the new owner is uncertain.
-func TestFinish(t *testing.T) {
+// Guards against the loss of results of requests that are running when their keys are
+// handed over. Without the result, a repetition at the new owner is uncertain.
+func TestResultAfterTransfer(t *testing.T) {
 	cases := map[string]func(s *service) bool{
 		"to the next owner": func(s *service) bool { ok := s.leave("a"); s.announce(); return ok },
-		"to a new member":   func(s *service) bool { s.begin("d"); ok := s.join("d"); s.announce(); return ok },
+		"to a new member":   func(s *service) bool { s.startProcess("d"); ok := s.join("d"); s.announce(); return ok },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -563,11 +567,11 @@
 			is.True(change(s))
 			is.Equal(s.call(key), sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonUncertain})
 			a.Records.Finish(s.now, "1", Key{Name: key}, answered)
-			ctx, cancel := s.limited()
+			ctx, cancel := s.exchangeContext()
 			a.SendResults(ctx)
 			cancel()
 			is.Equal(s.call(key), sycamorerun.Decision{Verdict: sycamorerun.VerdictRecorded, Reason: ReasonRecorded, Response: []byte("four")})
-			is.Equal(len(a.Records.Owed())+len(a.Records.debts), 0)
+			is.Equal(len(a.Records.DrainResults())+len(a.Records.resultRecipients), 0)
 		})
 	}
 }
@@ -581,8 +585,9 @@
 	}
 }
 
-// Guards against a second run of a key in random sequences of planned and
-// unplanned changes with views that lag. SYCAMORERUN_SEED replays one seed.
+// Guards against a second run of a request in random sequences of planned and
+// unplanned membership changes with outdated views. SYCAMORERUN_SEED selects a single
+// seed.
 func TestHandOverAtRandom(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	if text := os.Getenv("SYCAMORERUN_SEED"); text != "" {
@@ -598,19 +603,20 @@
 			random := rand.New(rand.NewPCG(seed, 1))
 			names := []string{"a", "b", "c", "d"}
 			s := newService("a", "b", "c")
-			s.patience = short // views lag here, so that many exchanges can't succeed
+			s.exchangeTimeout = shortTimeout // views are outdated here, so that many exchanges can't succeed
 			steps := []string{}
 			for step := range 600 {
 				epoch := step / 100
 				if step%100 == 0 {
-					// All doubts age, all views agree, and the keys are new.
+					// After this, all uncertainty has expired, all views agree, and the
+					// keys are new.
 					clear(s.unreachable)
 					s.announce()
 					s.now = s.now.Add(11 * time.Minute)
 				}
 				name := names[random.IntN(len(names))]
 				p := s.processes[name]
-				alive := p != nil && !p.dead
+				alive := p != nil && !p.crashed
 				action := ""
 				switch pick := random.IntN(60); {
 				case pick < 40:
@@ -629,7 +635,7 @@
 					action = "crash"
 					s.crash(name)
 				case pick < 56 && !alive:
-					s.begin(name)
+					s.startProcess(name)
 					action = fmt.Sprint("join ", s.join(name))
 				case pick < 58 && alive && !p.serving:
 					action = fmt.Sprint("return ", s.join(name))
@@ -643,13 +649,13 @@
 				s.now = s.now.Add(time.Duration(random.IntN(200)) * time.Millisecond)
 			}
 			if len(s.executed) < 10 {
-				t.Fatalf("only %d keys ran: the test shows little", len(s.executed))
+				t.Fatalf("calls with only %d keys ran, want at least 10", len(s.executed))
 			}
 		})
 	}
 }
 
-// Guards against bytes of another node that stop the process.
+// Guards against a panic on invalid input from another node.
 func FuzzServe(f *testing.F) {
 	for _, frame := range []*Frame{
 		{Kind: &Frame_Take{Take: &Take{Service: "s", Joiner: &Process{Name: "d", Boot: 1}, Term: 1}}},
@@ -665,16 +671,16 @@
 	}
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		s := newService("a", "b")
-		near, far := net.Pipe()
-		go func() { _, _ = io.Copy(io.Discard, near) }()
-		go func() { _, _ = near.Write(data); _ = near.Close() }()
-		s.processes["a"].Serve("d", far)
+		client, server := net.Pipe()
+		go func() { _, _ = io.Copy(io.Discard, client) }()
+		go func() { _, _ = client.Write(data); _ = client.Close() }()
+		s.processes["a"].Serve("d", server)
 		s.callAt(s.processes["a"], "key")
 	})
 }
 
-// BenchmarkLeave hands full records over to 22 members: 16,384 keys, 8 MiB of
-// responses. Setting up is part of an operation.
+// BenchmarkLeave measures a handoff of the maximum number of records to 22 members:
+// 16,384 keys with 8 MiB of responses. The setup of each operation is not measured.
 func BenchmarkLeave(b *testing.B) {
 	names := make([]string, 23)
 	for i := range names {
@@ -688,17 +694,17 @@
 		p.Records.limits = Defaults
 		for n := range Defaults.Keys {
 			key := Key{Name: fmt.Sprintf("booking-0123456789-%d", n)}
-			p.Records.take(s.now, []Record{{Key: key, Certain: true, Kept: true, Response: response}})
+			p.Records.importRecords(s.now, []Record{{Key: key, Certain: true, Kept: true, Response: response}})
 		}
 		b.StartTimer()
 		if !p.Leave(context.Background()) {
-			b.Fatal("hand-over failed")
+			b.Fatal("handoff incomplete")
 		}
 	}
 }
 
-// BenchmarkBegin claims new keys after a rolling restart of 23 members: three
-// member sets for each of them are remembered.
+// BenchmarkBegin measures Begin with new keys after a rolling restart of 23 members,
+// which leaves two past sets of members for each restarted member.
 func BenchmarkBegin(b *testing.B) {
 	names := make([]string, 23)
 	for i := range names {
@@ -712,7 +718,7 @@
 			d.SetMembers(s.now, set, all)
 		}
 	}
-	clear(d.moves.strangers)
+	clear(d.membership.unreconciled)
 	d.limits = Defaults
 	n := 0
 	for b.Loop() {
@@ -725,5 +731,5 @@
 		b.StartTimer()
 		d.Begin(s.now, fmt.Sprint(n), key)
 	}
-	b.ReportMetric(float64(len(d.moves.past)), "sets")
+	b.ReportMetric(float64(len(d.membership.past)), "sets")
 }
--- a/node/deduplicator/keys.go
+++ b/node/deduplicator/keys.go
@@ -8,59 +8,62 @@
 	"sycamorerun"
 )
 
-// record is what is known of a key.
+// record is the record of an idempotency key. It is certain once the request has
+// been answered.
 type record struct {
-	print    uint64
-	running  bool
-	certain  bool
-	kept     bool
-	response []byte
+	fingerprint uint64
+	running     bool
+	certain     bool
+	hasResponse bool
+	response    []byte
 }
 
-// keys are the records of idempotency keys. A record that has reached its age
-// leaves a trace, the hash of its key, so that a late repetition is answered
-// as uncertain and does not run.
+// keys holds the records of idempotency keys. An expired record is replaced by a
+// tombstone, the hash of its key, so that a late repetition of the request is
+// reported as uncertain and does not run.
 type keys struct {
-	records  map[string]*record
-	ended    queue[string]
-	bytes    int
-	kept     queue[string]
-	traces   map[uint64]struct{}
-	vanished queue[uint64]
-	// faded is when a record was last shortened to its trace before its age.
-	faded time.Time
+	records        map[string]*record
+	finished       queue[string]
+	responseBytes  int
+	responses      queue[string]
+	tombstones     map[uint64]struct{}
+	tombstoneOrder queue[uint64]
+	// earlyEviction is the last time at which a record was replaced by its
+	// tombstone before its TTL, to make room.
+	earlyEviction time.Time
 }
 
 func newKeys() keys {
-	return keys{records: map[string]*record{}, traces: map[uint64]struct{}{}}
+	return keys{records: map[string]*record{}, tombstones: map[uint64]struct{}{}}
 }
 
-// check decides about a key and reports whether it is known.
+// check returns the decision for a key and reports whether the key is known.
 func (k *keys) check(key Key) (sycamorerun.Decision, bool) {
 	known, ok := k.records[key.Name]
 	if !ok {
-		_, traced := k.traces[xxhash.Sum64String(key.Name)]
-		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonForgotten}, traced
+		_, expired := k.tombstones[xxhash.Sum64String(key.Name)]
+		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonResponseDropped}, expired
 	}
 	switch {
-	case known.print != key.Fingerprint:
+	case known.fingerprint != key.Fingerprint:
 		return sycamorerun.Decision{Verdict: sycamorerun.VerdictMismatch, Reason: ReasonUncertain}, true
 	case known.running:
 		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonRunning}, true
 	case !known.certain:
 		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonUncertain}, true
-	case !known.kept:
-		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonForgotten}, true
+	case !known.hasResponse:
+		return sycamorerun.Decision{Verdict: sycamorerun.VerdictUncertain, Reason: ReasonResponseDropped}, true
 	default:
 		return sycamorerun.Decision{Verdict: sycamorerun.VerdictRecorded, Reason: ReasonRecorded, Response: known.response}, true
 	}
 }
 
 func (k *keys) start(key Key) {
-	k.records[key.Name] = &record{print: key.Fingerprint, running: true}
+	k.records[key.Name] = &record{fingerprint: key.Fingerprint, running: true}
 }
 
-// finish records the end. A key whose request did not run is free again.
+// finish records the result of a request. If the request did not run, its key can
+// be used again.
 func (k *keys) finish(now time.Time, key Key, result Result) {
 	known, ok := k.records[key.Name]
 	if !ok || !known.running {
@@ -73,96 +76,97 @@
 	known.running = false
 	known.certain = result.Result == sycamorerun.Answered
 	if known.certain && result.Response != nil {
-		known.kept, known.response = true, result.Response
-		k.bytes += len(result.Response)
-		k.kept.push(now, key.Name)
+		known.hasResponse, known.response = true, result.Response
+		k.responseBytes += len(result.Response)
+		k.responses.push(now, key.Name)
 	}
-	k.ended.push(now, key.Name)
+	k.finished.push(now, key.Name)
 }
 
 func (k *keys) expire(now time.Time, limits Limits) {
-	for k.ended.length() > limits.Keys ||
-		k.ended.length() > 0 && now.Sub(k.ended.oldest().at) >= limits.KeyTTL {
-		if now.Sub(k.ended.oldest().at) < limits.KeyTTL {
-			k.faded = now
+	for k.finished.length() > limits.Keys ||
+		k.finished.length() > 0 && now.Sub(k.finished.oldest().at) >= limits.KeyTTL {
+		if now.Sub(k.finished.oldest().at) < limits.KeyTTL {
+			k.earlyEviction = now
 		}
-		k.fade(now, k.ended.oldest().item)
-		k.ended.drop()
+		k.replaceByTombstone(now, k.finished.oldest().item)
+		k.finished.drop()
 	}
-	for k.bytes > limits.Bytes {
-		k.release(k.kept.oldest().item)
-		k.kept.drop()
+	for k.responseBytes > limits.Bytes {
+		k.dropResponse(k.responses.oldest().item)
+		k.responses.drop()
 	}
-	for k.kept.length() > 0 && !k.holds(k.kept.oldest().item) {
-		k.kept.drop()
+	for k.responses.length() > 0 && !k.hasResponse(k.responses.oldest().item) {
+		k.responses.drop()
 	}
-	for k.vanished.length() > 0 && (k.vanished.length() > limits.Traces && k.aged(now, limits) ||
-		now.Sub(k.vanished.oldest().at) >= limits.Reach) {
-		delete(k.traces, k.vanished.oldest().item)
-		k.vanished.drop()
+	for k.tombstoneOrder.length() > 0 && (k.tombstoneOrder.length() > limits.Tombstones && k.tombstoneExpired(now, limits) ||
+		now.Sub(k.tombstoneOrder.oldest().at) >= limits.TombstoneTTL) {
+		delete(k.tombstones, k.tombstoneOrder.oldest().item)
+		k.tombstoneOrder.drop()
 	}
 }
 
-// fade replaces a record by its trace.
-func (k *keys) fade(now time.Time, name string) {
-	k.release(name)
+// replaceByTombstone deletes the record of a key and keeps its hash.
+func (k *keys) replaceByTombstone(now time.Time, name string) {
+	k.dropResponse(name)
 	delete(k.records, name)
 	hash := xxhash.Sum64String(name)
-	if _, ok := k.traces[hash]; !ok {
-		k.traces[hash] = struct{}{}
-		k.vanished.push(now, hash)
+	if _, ok := k.tombstones[hash]; !ok {
+		k.tombstones[hash] = struct{}{}
+		k.tombstoneOrder.push(now, hash)
 	}
 }
 
-// holds reports whether the response of a key is recorded.
-func (k *keys) holds(name string) bool {
+// hasResponse reports whether the response for a key is recorded.
+func (k *keys) hasResponse(name string) bool {
 	known, ok := k.records[name]
-	return ok && known.kept
+	return ok && known.hasResponse
 }
 
-// release drops the recorded response of a key.
-func (k *keys) release(name string) {
-	if known, ok := k.records[name]; ok && known.kept {
-		k.bytes -= len(known.response)
-		known.kept, known.response = false, nil
+// dropResponse deletes the recorded response for a key.
+func (k *keys) dropResponse(name string) {
+	if known, ok := k.records[name]; ok && known.hasResponse {
+		k.responseBytes -= len(known.response)
+		known.hasResponse, known.response = false, nil
 	}
 }
 
-// aged reports whether the oldest trace is no longer needed: its key is older
-// than Limits.KeyTTL.
-func (k *keys) aged(now time.Time, limits Limits) bool {
-	return now.Sub(k.vanished.oldest().at) >= limits.KeyTTL
+// tombstoneExpired reports whether the oldest tombstone is older than
+// Limits.KeyTTL and may be dropped to make room.
+func (k *keys) tombstoneExpired(now time.Time, limits Limits) bool {
+	return now.Sub(k.tombstoneOrder.oldest().at) >= limits.KeyTTL
 }
 
-// full reports whether there is no room for another key. Dropping a trace
-// before its age would let its request run again, so new keys are refused.
+// full reports whether there is no room for another key. New keys are refused
+// then, since a request could run again if its tombstone were dropped too early.
 func (k *keys) full(now time.Time, limits Limits) bool {
-	return len(k.records) >= limits.Keys && k.vanished.length() >= limits.Traces && !k.aged(now, limits)
+	return len(k.records) >= limits.Keys && k.tombstoneOrder.length() >= limits.Tombstones && !k.tombstoneExpired(now, limits)
 }
 
-// record returns what another process is told of a key.
+// record returns the record of a key for transfer to another process.
 func (k *keys) record(name string) Record {
 	known := k.records[name]
 	return Record{
-		Key: Key{Name: name, Fingerprint: known.print}, Certain: known.certain, Kept: known.kept, Response: known.response,
+		Key: Key{Name: name, Fingerprint: known.fingerprint}, Certain: known.certain, Kept: known.hasResponse, Response: known.response,
 	}
 }
 
-// take adds the record of another process, or ends an uncertain one.
-func (k *keys) take(now time.Time, in Record) {
+// merge adds a record received from another process. An existing record is
+// updated only if it is uncertain and its request is not running here.
+func (k *keys) merge(now time.Time, in Record) {
 	known, ok := k.records[in.Key.Name]
 	if ok && (known.running || known.certain) {
 		return
 	}
 	if !ok {
-		known = &record{print: in.Key.Fingerprint}
+		known = &record{fingerprint: in.Key.Fingerprint}
 		k.records[in.Key.Name] = known
-		k.ended.push(now, in.Key.Name)
+		k.finished.push(now, in.Key.Name)
 	}
 	known.certain = in.Certain
 	if in.Certain && in.Kept {
-		known.kept, known.response = true, in.Response
-		k.bytes += len(in.Response)
-		k.kept.push(now, in.Key.Name)
+		known.hasResponse, known.response = true, in.Response
+		k.responseBytes += len(in.Response)
+		k.responses.push(now, in.Key.Name)
 	}
 }
--- a/node/deduplicator/metrics.go
+++ b/node/deduplicator/metrics.go
@@ -7,14 +7,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// gaugeInterval is the time between two readings of the sizes.
+// gaugeInterval is the time between two updates of the gauges.
 const gaugeInterval = 10 * time.Second
 
-// metrics show operators whether keys are remembered and handed over.
+// metrics are the metrics of the records of keys and their transfer.
 type metrics struct {
-	scope                            tally.Scope
-	received, sent, strangers        tally.Counter
-	keys, traces, responses, doubted tally.Gauge
+	scope                                    tally.Scope
+	received, sent, reconciled               tally.Counter
+	keys, tombstones, responseBytes, inDoubt tally.Gauge
 }
 
 func newMetrics(scope tally.Scope) *metrics {
@@ -24,42 +24,42 @@
 	scope = scope.SubScope("keys")
 	return &metrics{
 		scope:    scope,
-		received: scope.Counter("received"), sent: scope.Counter("sent"), strangers: scope.Counter("strangers"),
-		keys: scope.Gauge("records"), traces: scope.Gauge("traces"), responses: scope.Gauge("response_bytes"),
-		doubted: scope.Gauge("in_doubt"),
+		received: scope.Counter("received"), sent: scope.Counter("sent"), reconciled: scope.Counter("strangers"),
+		keys: scope.Gauge("records"), tombstones: scope.Gauge("traces"), responseBytes: scope.Gauge("response_bytes"),
+		inDoubt: scope.Gauge("in_doubt"),
 	}
 }
 
-// moved counts a join or a leave.
-func (m *metrics) moved(kind string, complete bool) {
+// countTransfer counts a join or a leave of this process, as given by kind.
+func (m *metrics) countTransfer(kind string, complete bool) {
 	m.scope.Tagged(map[string]string{"complete": strconv.FormatBool(complete)}).Counter(kind).Inc(1)
 }
 
-// Sizes are what the records hold. InDoubt says that every unknown key is
-// uncertain.
+// Sizes holds the number of keys and tombstones and the total size of the recorded
+// responses in bytes. InDoubt is set while every unknown key is uncertain.
 type Sizes struct {
-	Keys, Traces, Responses int
-	InDoubt                 bool
+	Keys, Tombstones, ResponseBytes int
+	InDoubt                         bool
 }
 
-// Sizes returns the present sizes.
+// Sizes returns the sizes after expired records have been removed.
 func (d *Deduplicator) Sizes(now time.Time) Sizes {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.expire(now)
 	return Sizes{
-		Keys: len(d.keys.records), Traces: len(d.keys.traces), Responses: d.keys.bytes,
-		InDoubt: d.doubtful(now) || len(d.moves.strangers) > 0,
+		Keys: len(d.keys.records), Tombstones: len(d.keys.tombstones), ResponseBytes: d.keys.responseBytes,
+		InDoubt: d.historyIncomplete(now) || len(d.membership.unreconciled) > 0,
 	}
 }
 
 func (m *metrics) update(sizes Sizes) {
 	m.keys.Update(float64(sizes.Keys))
-	m.traces.Update(float64(sizes.Traces))
-	m.responses.Update(float64(sizes.Responses))
-	doubt := 0.0
+	m.tombstones.Update(float64(sizes.Tombstones))
+	m.responseBytes.Update(float64(sizes.ResponseBytes))
+	inDoubt := 0.0
 	if sizes.InDoubt {
-		doubt = 1
+		inDoubt = 1
 	}
-	m.doubted.Update(doubt)
+	m.inDoubt.Update(inDoubt)
 }
--- a/node/deduplicator/moves.go
+++ b/node/deduplicator/moves.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	// setsMax bounds the member sets that are kept. Beyond it every unknown key
-	// is uncertain until the sets have aged. A rolling restart of a service
-	// makes about three sets for each of its 23 members.
-	setsMax = 256
-	// joinAge is how long a member that has asked for its keys counts as a
-	// member before it is announced.
-	joinAge = 15 * time.Second
-	// chainMax bounds the hand-overs that are followed from one process to the next.
-	chainMax = 8
+	// maxMemberSets bounds the past member sets, the handoffs and the joiners. With
+	// more past sets, every unknown key is uncertain for Limits.KeyTTL. A rolling
+	// restart of a service makes about three sets for each of its 23 members.
+	maxMemberSets = 256
+	// joinerTTL is the time for which a process that has requested its keys counts
+	// as a member without being announced.
+	joinerTTL = 15 * time.Second
+	// maxHandoffs bounds the number of successive handoffs that are followed for a
+	// key.
+	maxHandoffs = 8
 )
 
-// Member is one process that executes keys. Boot is its random id,
-// which tells it from earlier processes of the same name.
+// Member is a process of a service that runs calls with keys. Boot is its random
+// id, which distinguishes it from earlier processes of the same name.
 type Member struct {
 	Name string
 	Boot int64
 }
 
-// Owner returns the member that executes key: the one with the highest hash of
-// key and name (rendezvous hashing), so that a change of the members moves only
-// the keys of the members that came or went. It is empty without members.
+// Owner returns the name of the member that owns key and runs the calls with it. It
+// is the name with the highest hash of key and name (rendezvous hashing), so that a
+// membership change moves only the keys of the members that joined or left. Owner
+// returns an empty string if there are no names.
 func Owner(key string, names []string) string {
 	owner, best := "", uint64(0)
 	for _, name := range names {
@@ -51,7 +53,8 @@
 	return digest.Sum64()
 }
 
-// ownerIn returns the member of set that executes key, or the zero Member.
+// ownerIn returns the member of set that owns key, or the zero Member if the set is
+// empty.
 func ownerIn(key string, set []Member) Member {
 	owner, best := Member{}, uint64(0)
 	for _, member := range set {
@@ -62,7 +65,8 @@
 	return owner
 }
 
-// rank returns names in the order in which they would own key.
+// rank returns names in descending order of their score for key. The first of them
+// that is a member owns the key.
 func rank(key string, names []string) []string {
 	type scored struct {
 		name  string
@@ -82,8 +86,9 @@
 	return ranked
 }
 
-// first returns the member of a set, in order of names, that ranks first.
-func first(ranked []string, set []Member) Member {
+// firstIn returns the member of set with the highest rank, or the zero Member. The
+// set has to be sorted by name.
+func firstIn(ranked []string, set []Member) Member {
 	for _, name := range ranked {
 		if at, found := slices.BinarySearchFunc(set, Member{Name: name}, byName); found {
 			return set[at]
@@ -92,111 +97,119 @@
 	return Member{}
 }
 
-// members is a set of members in order of names, and when it was replaced.
-type members struct {
-	set   []Member
-	until time.Time
+// pastSet is a former set of members, sorted by name, and the time at which it was
+// replaced.
+type pastSet struct {
+	set        []Member
+	replacedAt time.Time
 }
 
-// seal says that a process executes no more keys and has handed its records
-// over to their owners among set.
-type seal struct {
+// handoff records that a process has stopped running calls with keys and has handed
+// its records over to their owners among set.
+type handoff struct {
 	set []Member
 	at  time.Time
 }
 
-// moves are the member sets of the last Limits.KeyTTL.
-type moves struct {
+// membership holds the current members and the changes within the last
+// Limits.KeyTTL.
+type membership struct {
 	announced []Member
-	// joiners have been granted their keys but are not announced yet.
+	// joiners are the members that have requested their keys but are not announced
+	// yet, and when they did.
 	joiners map[Member]time.Time
-	// current is announced and joiners.
+	// current holds the announced members and the joiners, sorted by name.
 	current []Member
-	past    []members
-	// names are those of all past sets.
-	names []string
-	// known says that the members are known. Before that no key can have run.
-	known bool
-	// blind is the time until which every unknown key counts as moved.
-	blind time.Time
-	// left says that this process has handed its keys over, joining that it is
-	// asking for them; in both states it starts none.
+	past    []pastSet
+	// pastNames are the names of the members of all past sets.
+	pastNames []string
+	// membersKnown is set once the members are known. Before that, no call with a key
+	// can have run here.
+	membersKnown bool
+	// uncertainUntil is the time until which every unknown key is uncertain.
+	uncertainUntil time.Time
+	// left is set after this process has handed its keys over, joining while it
+	// requests them. In both states it owns no keys and starts no calls with them.
 	left, joining bool
-	// joined says that a join has ended, so that keys may have run here.
-	joined bool
-	seals  map[Member]seal
-	// strangers are members that appeared without having asked this process for
-	// their keys, as after a partition. They may have executed any key.
-	strangers map[Member]struct{}
-	// met are the members that this process has asked for its keys, or that had
-	// executed none before they asked for theirs.
-	met map[Member]struct{}
-	// doubted are members that, when they handed this process its keys, did not
-	// know what ran before them, and when that was.
-	doubted map[Member]time.Time
-	// terms count how often each member has joined, so that a late seal of an
-	// earlier term is ignored.
+	// joined is set after the first join. Calls with keys may have run here since.
+	joined   bool
+	handoffs map[Member]handoff
+	// unreconciled are the members that appeared without having requested their keys
+	// from this process, as after a network partition. They may have run calls with
+	// any key.
+	unreconciled map[Member]struct{}
+	// reconciled are the members that have granted this process its keys, or that had
+	// run no calls with keys before they requested theirs.
+	reconciled map[Member]struct{}
+	// incompleteHistory are the members whose history was incomplete when they handed
+	// this process its keys, and when that was.
+	incompleteHistory map[Member]time.Time
+	// terms holds the latest term of each member, which is the number of its joins. A
+	// handoff notice of an earlier term is late and ignored.
 	terms map[Member]uint64
 }
 
-func newMoves() moves {
-	return moves{
-		joiners: map[Member]time.Time{}, seals: map[Member]seal{}, strangers: map[Member]struct{}{}, met: map[Member]struct{}{},
-		doubted: map[Member]time.Time{}, terms: map[Member]uint64{},
+func newMembership() membership {
+	return membership{
+		joiners: map[Member]time.Time{}, handoffs: map[Member]handoff{}, unreconciled: map[Member]struct{}{}, reconciled: map[Member]struct{}{},
+		incompleteHistory: map[Member]time.Time{}, terms: map[Member]uint64{},
 	}
 }
 
-// SetMembers records the members that can execute keys now, the instances of the
-// service that take calls, and all live ones, in any order.
+// SetMembers sets the members. announced are the instances of the service that take
+// calls and thus can run calls with keys, live are all live instances. Both may be
+// in any order.
 func (d *Deduplicator) SetMembers(now time.Time, announced, live []Member) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	m := &d.moves
+	m := &d.membership
 	for _, member := range announced {
 		if !slices.Contains(m.announced, member) {
-			delete(m.seals, member) // it executes keys again
-			d.notice(member)
+			delete(m.handoffs, member) // it runs calls with keys again
+			d.markUnreconciled(member)
 		}
-		// A joiner with another boot of the name may be a later run. An earlier
-		// one goes after joinAge.
+		// A joiner of the same name with another boot id may be a later process and
+		// is kept. A joiner that is an earlier process expires after joinerTTL.
 		delete(m.joiners, member)
 	}
-	d.forget(now, live)
+	d.removeGone(now, live)
 	m.announced = slices.Clone(announced)
-	d.recompose(now)
-	m.known = true
+	d.updateCurrent(now)
+	m.membersKnown = true
 }
 
-// forget drops what is known of processes that are gone. A stranger takes what
-// it knew with it. One that only stopped serving, as when its upstream was
-// silent for a moment, can still answer, and executes no keys meanwhile.
-func (d *Deduplicator) forget(now time.Time, live []Member) {
-	m := &d.moves
+// removeGone removes processes that are no longer live. If one of them was not
+// reconciled, its records are lost, and every unknown key is uncertain. A process
+// that has only stopped serving, as while its upstream does not respond, is kept: it
+// can still hand over its records, and runs no calls with keys meanwhile.
+func (d *Deduplicator) removeGone(now time.Time, live []Member) {
+	m := &d.membership
 	gone := func(member Member, _ struct{}) bool {
-		_, joiner := m.joiners[member] // may not be listed yet
+		_, joiner := m.joiners[member] // may not be in live yet
 		return !joiner && !slices.Contains(live, member)
 	}
-	strangers := len(m.strangers)
-	maps.DeleteFunc(m.strangers, gone)
-	if len(m.strangers) < strangers {
-		m.blind = now.Add(d.limits.KeyTTL)
+	before := len(m.unreconciled)
+	maps.DeleteFunc(m.unreconciled, gone)
+	if len(m.unreconciled) < before {
+		m.uncertainUntil = now.Add(d.limits.KeyTTL)
 	}
-	maps.DeleteFunc(m.met, gone)
+	maps.DeleteFunc(m.reconciled, gone)
 }
 
-// notice marks a member as a stranger unless it is met, or this process executes
-// no keys: it will ask all members before it does.
-func (d *Deduplicator) notice(member Member) {
-	m := &d.moves
-	_, met := m.met[member]
-	if !m.known || !m.joined || m.joining || m.left || met || member.Name == d.Self {
+// markUnreconciled marks a member as unreconciled unless it is reconciled already, or
+// this process runs no calls with keys: it will request its keys from all members
+// before it does.
+func (d *Deduplicator) markUnreconciled(member Member) {
+	m := &d.membership
+	_, done := m.reconciled[member]
+	if !m.membersKnown || !m.joined || m.joining || m.left || done || member.Name == d.Self {
 		return
 	}
-	m.strangers[member] = struct{}{}
+	m.unreconciled[member] = struct{}{}
 	d.signal()
 }
 
-// signal wakes the exchanger.
+// signal wakes up the Exchanger.
 func (d *Deduplicator) signal() {
 	select {
 	case d.wake <- struct{}{}:
@@ -208,12 +221,13 @@
 
 func byName(a, b Member) int { return strings.Compare(a.Name, b.Name) }
 
-// recompose derives the current set and keeps the one that it replaces.
-func (d *Deduplicator) recompose(now time.Time) {
-	m := &d.moves
+// updateCurrent updates the current set from the announced members and the joiners,
+// and adds the set that it replaces to the past sets.
+func (d *Deduplicator) updateCurrent(now time.Time) {
+	m := &d.membership
 	set := slices.Clone(m.announced)
 	for joiner, since := range m.joiners {
-		if now.Sub(since) >= joinAge {
+		if now.Sub(since) >= joinerTTL {
 			delete(m.joiners, joiner)
 			continue
 		}
@@ -223,98 +237,101 @@
 		set = without(set, d.Self)
 	}
 	slices.SortFunc(set, byName)
-	if !m.known {
+	if !m.membersKnown {
 		m.current = set
 		return
 	}
 	if slices.Equal(m.current, set) {
 		return
 	}
-	d.remember(now, members{set: m.current, until: now})
+	d.addPast(now, pastSet{set: m.current, replacedAt: now})
 	m.current = set
 }
 
-// remember keeps past sets until they have aged. An empty one, which a process
-// has before it knows the members, names nobody who executed keys, and would
-// make every key uncertain here and at each member that adopts it.
-func (d *Deduplicator) remember(now time.Time, sets ...members) {
-	m := &d.moves
-	aged := func(at time.Time) bool { return now.Sub(at) >= d.limits.KeyTTL }
-	m.past = slices.DeleteFunc(append(m.past, sets...), func(past members) bool {
-		return len(past.set) == 0 || aged(past.until)
+// addPast adds past sets and removes expired ones. An empty set, as a process has
+// before it knows the members, is not kept: it has no member that could have run a
+// call, and would make every key uncertain here and at each member that gets it with
+// a grant.
+func (d *Deduplicator) addPast(now time.Time, sets ...pastSet) {
+	m := &d.membership
+	expired := func(at time.Time) bool { return now.Sub(at) >= d.limits.KeyTTL }
+	m.past = slices.DeleteFunc(append(m.past, sets...), func(past pastSet) bool {
+		return len(past.set) == 0 || expired(past.replacedAt)
 	})
-	for member, known := range m.seals {
-		if aged(known.at) {
-			delete(m.seals, member)
+	for member, done := range m.handoffs {
+		if expired(done.at) {
+			delete(m.handoffs, member)
 		}
 	}
-	if len(m.past) > setsMax {
-		m.past, m.blind = nil, now.Add(d.limits.KeyTTL)
+	if len(m.past) > maxMemberSets {
+		m.past, m.uncertainUntil = nil, now.Add(d.limits.KeyTTL)
 	}
-	m.names = m.names[:0]
+	m.pastNames = m.pastNames[:0]
 	for _, past := range m.past {
 		for _, member := range past.set {
-			m.names = append(m.names, member.Name)
+			m.pastNames = append(m.pastNames, member.Name)
 		}
 	}
-	slices.Sort(m.names)
-	m.names = slices.Compact(m.names)
+	slices.Sort(m.pastNames)
+	m.pastNames = slices.Compact(m.pastNames)
 }
 
 func without(set []Member, name string) []Member {
 	return slices.DeleteFunc(slices.Clone(set), func(member Member) bool { return member.Name == name })
 }
 
-// owns reports whether this node is the one that executes key.
+// owns reports whether this process owns key.
 func (d *Deduplicator) owns(now time.Time, key string) bool {
-	m := &d.moves
+	m := &d.membership
 	if m.joining {
 		return false
 	}
 	if len(m.joiners) > 0 {
-		d.recompose(now)
+		d.updateCurrent(now)
 	}
-	return !m.known || ownerIn(key, m.current).Name == d.Self
+	return !m.membersKnown || ownerIn(key, m.current).Name == d.Self
 }
 
-// doubtful reports whether nothing can be said of unknown keys.
-func (d *Deduplicator) doubtful(now time.Time) bool {
-	return now.Before(d.moves.blind) || !d.HistoryComplete && now.Sub(d.began) < d.limits.KeyTTL
+// historyIncomplete reports whether calls with unknown keys may have run within
+// Limits.KeyTTL.
+func (d *Deduplicator) historyIncomplete(now time.Time) bool {
+	return now.Before(d.membership.uncertainUntil) || !d.HistoryComplete && now.Sub(d.recordsSince) < d.limits.KeyTTL
 }
 
-// moved reports whether another process may have executed key within the age.
-func (d *Deduplicator) moved(now time.Time, key string) bool {
-	if d.doubtful(now) || len(d.moves.strangers) > 0 {
+// mayHaveRunElsewhere reports whether another process may have run a call with key
+// within Limits.KeyTTL whose record is not here.
+func (d *Deduplicator) mayHaveRunElsewhere(now time.Time, key string) bool {
+	if d.historyIncomplete(now) || len(d.membership.unreconciled) > 0 {
 		return true
 	}
-	ranked := rank(key, d.moves.names)
-	for _, past := range d.moves.past {
-		if now.Sub(past.until) < d.limits.KeyTTL && !d.cleared(now, key, first(ranked, past.set)) {
+	ranked := rank(key, d.membership.pastNames)
+	for _, past := range d.membership.past {
+		if now.Sub(past.replacedAt) < d.limits.KeyTTL && !d.recordsReceived(now, key, firstIn(ranked, past.set)) {
 			return true
 		}
 	}
 	return false
 }
 
-// cleared reports whether nothing that member knew of key can be lost to this
-// process. A member of the current set hands its keys to each process that
-// joins, and a sealed one has handed them to the next owner.
-func (d *Deduplicator) cleared(now time.Time, key string, member Member) bool {
-	for range chainMax {
+// recordsReceived reports whether every record of key that member had has reached
+// this process. A member of the current set hands its keys over to each process that
+// joins, and one that has left in an orderly way has handed them to the next owner.
+func (d *Deduplicator) recordsReceived(now time.Time, key string, member Member) bool {
+	for range maxHandoffs {
 		if member == d.member() {
 			return true
 		}
-		if at, ok := d.moves.doubted[member]; ok && now.Sub(at) < d.limits.KeyTTL {
+		if at, ok := d.membership.incompleteHistory[member]; ok && now.Sub(at) < d.limits.KeyTTL {
 			return false
 		}
-		if slices.Contains(d.moves.current, member) {
+		if slices.Contains(d.membership.current, member) {
 			return true
 		}
-		known, ok := d.moves.seals[member]
+		done, ok := d.membership.handoffs[member]
 		if !ok {
 			return false
 		}
-		member = ownerIn(key, known.set)
+		member = ownerIn(key, done.set)
 	}
 	return false
 }
--- a/node/deduplicator/session.go
+++ b/node/deduplicator/session.go
@@ -15,35 +15,37 @@
 	"sycamorerun/encoder"
 )
 
-// Kind is the stream kind for exchanges of keys between the nodes of a service.
+// Kind is the stream kind for key exchanges between the nodes of a service.
 const Kind = "keys"
 
 const (
-	// frameBytes bounds a frame, batchBytes the responses in one. A recorded
-	// response has at most 32 KiB.
-	frameBytes = 1 << 20
-	batchBytes = 256 << 10
-	batchCount = 1024
-	// exchangeWait bounds one exchange on the side that serves it.
-	exchangeWait = 5 * time.Second
-	// askWait bounds one attempt to get a member's grant, so that a member that
-	// is paused does not hold up the answers of the others.
-	askWait = time.Second
-	// retryWait is the pause of a join after which members that have not granted
-	// are asked again.
-	retryWait = 50 * time.Millisecond
-	// meetWait is the same for strangers, whose view takes longer to agree.
-	meetWait = 250 * time.Millisecond
+	// maxFrameBytes bounds a frame. A batch of records is sent once it has reached
+	// maxBatchBytes or maxBatchRecords. A recorded response has at most 32 KiB.
+	maxFrameBytes   = 1 << 20
+	maxBatchBytes   = 256 << 10
+	maxBatchRecords = 1024
+	// serveTimeout bounds an exchange on the serving side.
+	serveTimeout = 5 * time.Second
+	// grantTimeout bounds one request for a member's grant, so that a suspended
+	// member does not delay the grants of the others.
+	grantTimeout = time.Second
+	// joinRetryInterval is the delay of a join before its next request to members
+	// that have not granted the keys.
+	joinRetryInterval = 50 * time.Millisecond
+	// reconcileInterval is the delay before the next request to unreconciled members.
+	// It is longer, since their view of the members takes longer to agree.
+	reconcileInterval = 250 * time.Millisecond
 )
 
-var errProtocol = errors.New("unexpected frame")
+var errProtocol = errors.New("invalid key exchange frame")
 
-// Exchanger hands keys over between the processes of a service.
+// Exchanger transfers keys between the processes of a service.
 type Exchanger struct {
 	Records *Deduplicator
-	// Service is the service that the upstream here serves, empty without one.
+	// Service returns the service of the upstream beside this node, or an empty
+	// string if there is none.
 	Service func() string
-	// Members returns the announced members of the service but for this one.
+	// Members returns the announced members of the service except this one.
 	Members func() []Member
 	Open    func(ctx context.Context, member string) (net.Conn, error)
 	Now     func() time.Time
@@ -51,31 +53,34 @@
 	Scope   tally.Scope
 
 	mutex sync.Mutex
-	// counted is made of Scope at the first use.
-	counted *metrics
-	term    uint64
-	// handed are the records of the last Leave whose requests were unfinished.
-	handed map[Member][]Record
+	// cachedMetrics is created from Scope on first use.
+	cachedMetrics *metrics
+	// term is the number of joins of this process.
+	term uint64
+	// unfinished holds the records of the last Leave whose requests were still
+	// running.
+	unfinished map[Member][]Record
 }
 
-// metrics returns the metrics of the exchanges.
+// metrics returns the metrics, which it creates on first use.
 func (e *Exchanger) metrics() *metrics {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.counted == nil {
-		e.counted = newMetrics(e.Scope)
+	if e.cachedMetrics == nil {
+		e.cachedMetrics = newMetrics(e.Scope)
 	}
-	return e.counted
+	return e.cachedMetrics
 }
 
-// Join takes this process's keys over from the members. It asks until each one
-// has granted or ctx ends, and reports whether the join is complete.
+// Join takes over the keys of this process from the other members. It repeats its
+// requests until each member has granted them or ctx ends, and reports whether the
+// join is complete.
 func (e *Exchanger) Join(ctx context.Context) bool {
 	e.mutex.Lock()
 	e.term++
 	term := e.term
 	e.mutex.Unlock()
-	e.Records.Prepare(e.Now())
+	e.Records.BeginJoin(e.Now())
 	grants := map[Member]Grant{}
 	var learned []Member
 	for {
@@ -85,23 +90,23 @@
 			for _, member := range missing {
 				delete(grants, member)
 			}
-			complete := e.Records.Join(e.Now(), view, grants)
-			e.metrics().moved("joins", complete)
-			_ = level.Info(e.Logger).Log("msg", "keys taken over", "members", len(view), "missing", len(missing), "complete", complete)
+			complete := e.Records.FinishJoin(e.Now(), view, grants)
+			e.metrics().countTransfer("joins", complete)
+			_ = level.Info(e.Logger).Log("msg", "key takeover finished", "members", len(view), "missing", len(missing), "complete", complete)
 			return complete
 		}
-		for member, grant := range e.askAll(ctx, missing, e.take(term, view, false)) {
+		for member, grant := range e.requestGrants(ctx, missing, e.takeRequest(term, view, false)) {
 			grants[member] = grant
 			learned = merge(learned, grant.Set, e.Records.Self)
 		}
 		if len(e.view(learned)) == len(view) {
-			pause(ctx, retryWait)
+			pause(ctx, joinRetryInterval)
 		}
 	}
 }
 
-// Run asks strangers for the keys of this process, and sends the results of
-// requests that ended after their keys were handed over, until ctx ends.
+// Run reconciles with unreconciled members and sends the results of requests that
+// ended after their keys were handed over, until ctx ends.
 func (e *Exchanger) Run(ctx context.Context) error {
 	ticker := time.NewTicker(gaugeInterval)
 	defer ticker.Stop()
@@ -113,57 +118,60 @@
 		case <-ticker.C:
 		case <-e.Records.wake:
 			e.SendResults(ctx)
-			e.Meet(ctx)
+			e.Reconcile(ctx)
 		}
 	}
 }
 
-// Meet asks strangers until all have granted or are gone, or ctx ends.
-func (e *Exchanger) Meet(ctx context.Context) {
-	for strangers := e.Records.Strangers(); len(strangers) > 0 && ctx.Err() == nil; strangers = e.Records.Strangers() {
+// Reconcile requests the keys of this process from unreconciled members until all of
+// them have granted them or are gone, or ctx ends.
+func (e *Exchanger) Reconcile(ctx context.Context) {
+	for members := e.Records.Unreconciled(); len(members) > 0 && ctx.Err() == nil; members = e.Records.Unreconciled() {
 		e.mutex.Lock()
 		term := e.term
 		e.mutex.Unlock()
-		e.Records.Meet(e.Now(), e.askAll(ctx, strangers, e.take(term, e.view(nil), true)))
-		left := len(e.Records.Strangers())
-		e.metrics().strangers.Inc(met(len(strangers), left))
-		_ = level.Info(e.Logger).Log("msg", "members met", "strangers", len(strangers), "left", left)
-		if left > 0 {
-			pause(ctx, meetWait)
+		e.Records.Reconcile(e.Now(), e.requestGrants(ctx, members, e.takeRequest(term, e.view(nil), true)))
+		remaining := len(e.Records.Unreconciled())
+		e.metrics().reconciled.Inc(reconciledCount(len(members), remaining))
+		_ = level.Info(e.Logger).Log("msg", "key reconciliation round finished", "strangers", len(members), "left", remaining)
+		if remaining > 0 {
+			pause(ctx, reconcileInterval)
 		}
 	}
 }
 
-// met returns how many of the strangers asked are strangers no more. Others may
-// have come meanwhile, and a counter that decreased would stop the process.
-func met(asked, left int) int64 { return int64(max(0, asked-left)) }
+// reconciledCount returns the number of members that were reconciled in a round. More
+// members may have become unreconciled meanwhile, and a negative increment of a
+// counter would stop the process.
+func reconciledCount(asked, remaining int) int64 { return int64(max(0, asked-remaining)) }
 
-// take returns the request for the keys that this process owns among view.
-func (e *Exchanger) take(term uint64, view []Member, executing bool) *Take {
+// takeRequest returns a request for the keys that this process owns among view.
+// executing is set if this process has run calls with keys before.
+func (e *Exchanger) takeRequest(term uint64, view []Member, executing bool) *Take {
 	return &Take{
 		Service: e.Service(), Joiner: toProcess(e.Records.member()), Term: term,
 		View: toProcesses(view), Executing: executing,
 	}
 }
 
-// valid reports whether a grant still holds when the joiner owns keys among view:
-// the member must know nobody beyond it, since a larger view owns fewer keys.
+// valid reports whether a grant covers the keys that self owns among view. The member
+// must not know of members beyond view, since self owns fewer keys in a larger set.
 func valid(grant Grant, view []Member, self Member) bool {
 	unseen := func(member Member) bool { return member != self && !slices.Contains(view, member) }
 	return grant.Granted && !slices.ContainsFunc(grant.Set, unseen)
 }
 
-// view returns the announced members, and those learned from others that are
-// not announced yet.
+// view returns the announced members and the members learned from grants that are not
+// announced yet.
 func (e *Exchanger) view(learned []Member) []Member {
 	return merge(slices.Clone(e.Members()), learned, e.Records.Self)
 }
 
-// merge adds members of other names to set.
+// merge adds to set the members whose names it does not contain, except self.
 func merge(set, more []Member, self string) []Member {
 	for _, member := range more {
-		named := func(known Member) bool { return known.Name == member.Name }
-		if member.Name != self && !slices.ContainsFunc(set, named) {
+		sameName := func(known Member) bool { return known.Name == member.Name }
+		if member.Name != self && !slices.ContainsFunc(set, sameName) {
 			set = append(set, member)
 		}
 	}
@@ -177,15 +185,15 @@
 	}
 }
 
-// askAll asks members at the same time.
-func (e *Exchanger) askAll(ctx context.Context, members []Member, take *Take) map[Member]Grant {
+// requestGrants requests grants from members concurrently.
+func (e *Exchanger) requestGrants(ctx context.Context, members []Member, take *Take) map[Member]Grant {
 	grants := make([]Grant, len(members))
 	var group sync.WaitGroup
 	for i, member := range members {
 		group.Go(func() {
-			grant, err := e.ask(ctx, member, take)
+			grant, err := e.requestGrant(ctx, member, take)
 			if err != nil {
-				_ = level.Debug(e.Logger).Log("msg", "keys not granted", "peer", member.Name, "err", err)
+				_ = level.Debug(e.Logger).Log("msg", "request for keys failed", "peer", member.Name, "err", err)
 			}
 			grants[i] = grant
 		})
@@ -198,16 +206,16 @@
 	return answers
 }
 
-// ask sends a Take and reads the grant with its records.
-func (e *Exchanger) ask(ctx context.Context, member Member, take *Take) (Grant, error) {
+// requestGrant sends take to a member and reads the grant with its records.
+func (e *Exchanger) requestGrant(ctx context.Context, member Member, take *Take) (Grant, error) {
 	var grant Grant
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	err := e.exchange(ctx, member, func(stream net.Conn) error {
 		if err := write(stream, &Frame{Kind: &Frame_Take{Take: take}}); err != nil {
 			return err
 		}
-		frame, err := encoder.Read[Frame](stream, frameBytes)
+		frame, err := encoder.Read[Frame](stream, maxFrameBytes)
 		if err != nil {
 			return err
 		}
@@ -226,20 +234,21 @@
 	return grant, err
 }
 
-// Leave hands the keys over to their owners and, once each of them has its
-// records, tells all of them. It reports whether all of it succeeded.
+// Leave hands the keys over to their new owners. Once each of them has its records, it
+// notifies all of them that the handoff is complete. It reports whether all of this
+// succeeded.
 func (e *Exchanger) Leave(ctx context.Context) bool {
-	records, set, sealed := e.Records.Leave(e.Now())
+	records, set, certain := e.Records.Leave(e.Now())
 	e.mutex.Lock()
 	term := e.term
 	e.mutex.Unlock()
-	if !e.handOver(ctx, records) || !sealed || len(set) == 0 {
-		e.metrics().moved("leaves", false)
-		_ = level.Info(e.Logger).Log("msg", "keys handed over in part", "members", len(set), "certain", sealed)
+	if !e.handOver(ctx, records) || !certain || len(set) == 0 {
+		e.metrics().countTransfer("leaves", false)
+		_ = level.Info(e.Logger).Log("msg", "key handoff incomplete", "members", len(set), "certain", certain)
 		return false
 	}
 	notice := &Sealed{Member: toProcess(e.Records.member()), Term: term, Set: toProcesses(set)}
-	complete := e.each(set, func(member Member) error {
+	complete := e.forEach(set, func(member Member) error {
 		return e.exchange(ctx, member, func(stream net.Conn) error {
 			if err := write(stream, &Frame{Kind: &Frame_Sealed{Sealed: notice}}); err != nil {
 				return err
@@ -247,23 +256,24 @@
 			return readDone(stream)
 		})
 	})
-	e.metrics().moved("leaves", complete)
-	_ = level.Info(e.Logger).Log("msg", "keys handed over", "members", len(set), "complete", complete)
+	e.metrics().countTransfer("leaves", complete)
+	_ = level.Info(e.Logger).Log("msg", "key handoff finished", "members", len(set), "complete", complete)
 	return complete
 }
 
-// SendResults hands over the results of requests that ended after their keys.
+// SendResults sends the results of requests that ended after their keys were handed
+// over to the new owners.
 func (e *Exchanger) SendResults(ctx context.Context) {
-	e.handOver(ctx, e.Records.Owed())
+	e.handOver(ctx, e.Records.DrainResults())
 }
 
-// handOver sends records to their members and reports whether all have them.
+// handOver sends each member its records and reports whether all have received them.
 func (e *Exchanger) handOver(ctx context.Context, records map[Member][]Record) bool {
 	var targets []Member
 	for member := range records {
 		targets = append(targets, member)
 	}
-	return e.each(targets, func(member Member) error {
+	return e.forEach(targets, func(member Member) error {
 		return e.exchange(ctx, member, func(stream net.Conn) error {
 			if err := writeRecords(stream, records[member]); err != nil {
 				return err
@@ -274,45 +284,46 @@
 	})
 }
 
-// each runs send for all members at the same time and reports whether all succeeded.
-func (e *Exchanger) each(members []Member, send func(member Member) error) bool {
-	failed := make([]error, len(members))
+// forEach calls send for all members concurrently and reports whether all calls
+// succeeded.
+func (e *Exchanger) forEach(members []Member, send func(member Member) error) bool {
+	errs := make([]error, len(members))
 	var group sync.WaitGroup
 	for i, member := range members {
-		group.Go(func() { failed[i] = send(member) })
+		group.Go(func() { errs[i] = send(member) })
 	}
 	group.Wait()
-	for i, err := range failed {
+	for i, err := range errs {
 		if err != nil {
-			_ = level.Warn(e.Logger).Log("msg", "keys not handed over", "peer", members[i].Name, "err", err)
+			_ = level.Warn(e.Logger).Log("msg", "failed to hand keys over to peer", "peer", members[i].Name, "err", err)
 		}
 	}
-	return !slices.ContainsFunc(failed, func(err error) bool { return err != nil })
+	return !slices.ContainsFunc(errs, func(err error) bool { return err != nil })
 }
 
-// exchange runs one exchange over a new stream, until ctx ends.
+// exchange runs one exchange over a new stream, which is closed when ctx ends.
 func (e *Exchanger) exchange(ctx context.Context, member Member, run func(stream net.Conn) error) error {
 	stream, err := e.Open(ctx, member.Name)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = stream.Close() }()
-	release := context.AfterFunc(ctx, func() { _ = stream.Close() })
-	defer release()
+	stop := context.AfterFunc(ctx, func() { _ = stream.Close() })
+	defer stop()
 	return run(stream)
 }
 
-// Serve answers one exchange of the node from.
+// Serve serves one exchange that the node named from has opened.
 func (e *Exchanger) Serve(from string, stream net.Conn) {
 	defer func() { _ = stream.Close() }()
-	_ = stream.SetDeadline(time.Now().Add(exchangeWait))
+	_ = stream.SetDeadline(time.Now().Add(serveTimeout))
 	if err := e.serve(from, stream); err != nil {
-		_ = level.Debug(e.Logger).Log("msg", "exchange of keys failed", "peer", from, "err", err)
+		_ = level.Debug(e.Logger).Log("msg", "failed to serve key exchange", "peer", from, "err", err)
 	}
 }
 
 func (e *Exchanger) serve(from string, stream net.Conn) error {
-	frame, err := encoder.Read[Frame](stream, frameBytes)
+	frame, err := encoder.Read[Frame](stream, maxFrameBytes)
 	if err != nil {
 		return err
 	}
@@ -331,7 +342,7 @@
 		if member.Name != from {
 			return errProtocol
 		}
-		e.Records.Seal(e.Now(), member, kind.Sealed.GetTerm(), fromProcesses(kind.Sealed.GetSet()))
+		e.Records.RecordHandoff(e.Now(), member, kind.Sealed.GetTerm(), fromProcesses(kind.Sealed.GetSet()))
 	default:
 		return errProtocol
 	}
@@ -360,7 +371,7 @@
 }
 
 func readDone(stream net.Conn) error {
-	frame, err := encoder.Read[Frame](stream, frameBytes)
+	frame, err := encoder.Read[Frame](stream, maxFrameBytes)
 	if err == nil && frame.GetDone() == nil {
 		err = errProtocol
 	}
--- a/node/deduplicator/session_test.go
+++ b/node/deduplicator/session_test.go
@@ -6,20 +6,21 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a process that ends because its counter of met strangers
-// decreases, when more strangers came during a round than were met in it.
-func TestMet(t *testing.T) {
+// Guards against a panic of the metrics library because of a negative increment of
+// the counter of reconciled members, when more members became unreconciled during a
+// round than were reconciled in it.
+func TestReconciledCount(t *testing.T) {
 	cases := map[string]struct {
-		asked, left int
-		want        int64
+		asked, remaining int
+		want             int64
 	}{
-		"all":            {asked: 3, left: 0, want: 3},
-		"some":           {asked: 3, left: 1, want: 2},
-		"more have come": {asked: 1, left: 4, want: 0},
+		"all":            {asked: 3, remaining: 0, want: 3},
+		"some":           {asked: 3, remaining: 1, want: 2},
+		"more have come": {asked: 1, remaining: 4, want: 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(met(c.asked, c.left), c.want)
+			is.New(t).Equal(reconciledCount(c.asked, c.remaining), c.want)
 		})
 	}
 }
