--- a/node/forwarder/fixture_test.go
+++ b/node/forwarder/fixture_test.go
@@ -60,7 +60,7 @@
 		deduplicator: deduplicator.New(time.Now().Add(-time.Hour), deduplicator.Defaults),
 		observed:     make(chan Observation, 16),
 	}
-	fx.deduplicator.Self, fx.deduplicator.Clean = "beside", true
+	fx.deduplicator.Self, fx.deduplicator.HistoryComplete = "beside", true
 	fx.upstreamServer = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fx.executed.Add(1)
 		handler(w, r)
@@ -125,10 +125,10 @@
 	}
 	f.Load = func(Match) *Load { return &Load{Running: uint32(fx.limiter.Load().Running), Slots: 6} }
 	f.Begin = func(now time.Time, claim Claim) sycamorerun.Decision {
-		return fx.deduplicator.Begin(now, claim.ID, deduplicator.Key{Name: claim.Key, Print: claim.Fingerprint})
+		return fx.deduplicator.Begin(now, claim.ID, deduplicator.Key{Name: claim.Key, Fingerprint: claim.Fingerprint})
 	}
 	f.Finish = func(now time.Time, claim Claim, completion Completion) {
-		fx.deduplicator.Finish(now, claim.ID, deduplicator.Key{Name: claim.Key, Print: claim.Fingerprint},
+		fx.deduplicator.Finish(now, claim.ID, deduplicator.Key{Name: claim.Key, Fingerprint: claim.Fingerprint},
 			deduplicator.Result{Result: completion.Result, Response: completion.Response})
 	}
 	f.Refuse = func(now time.Time, id string, age time.Duration) CallState {
