--- a/ctl/issuer/issuer_test.go
+++ b/ctl/issuer/issuer_test.go
@@ -14,7 +14,8 @@
 	"sycamorerun/ctl/issuer"
 )
 
-// TestToken guards that tokens differ and that the hash is that of the text.
+// TestToken guards against tokens that repeat and against a hash that is not
+// SHA-256 over the token's text, which nodes would not recognize.
 func TestToken(t *testing.T) {
 	is := is.New(t)
 	token, hash := issuer.Token()
@@ -25,8 +26,9 @@
 	is.Equal(issuer.Hash("abc"), "sha256:ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad")
 }
 
-// TestKeys guards the modes of the files, that existing keys stay, and that
-// two peers with the files complete a mutual TLS 1.3 handshake.
+// TestKeys guards against key files that others can read, against replacing
+// existing keys, and against certificates with which two peers can't complete a
+// mutual TLS 1.3 handshake.
 func TestKeys(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "keys")
@@ -39,26 +41,26 @@
 		is.NoErr(err)
 		is.Equal(info.Mode().Perm(), os.FileMode(0o600))
 	}
-	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, issuer.FileCert), filepath.Join(dir, issuer.FileKey))
+	certificate, err := tls.LoadX509KeyPair(filepath.Join(dir, issuer.FileCert), filepath.Join(dir, issuer.FileKey))
 	is.NoErr(err)
-	authority, err := os.ReadFile(filepath.Join(dir, issuer.FileCA))
+	caPEM, err := os.ReadFile(filepath.Join(dir, issuer.FileCA))
 	is.NoErr(err)
 	pool := x509.NewCertPool()
-	is.True(pool.AppendCertsFromPEM(authority))
+	is.True(pool.AppendCertsFromPEM(caPEM))
 	config := &tls.Config{
-		Certificates: []tls.Certificate{pair}, RootCAs: pool, ClientCAs: pool, ServerName: "127.0.0.1",
+		Certificates: []tls.Certificate{certificate}, RootCAs: pool, ClientCAs: pool, ServerName: "127.0.0.1",
 		ClientAuth: tls.RequireAndVerifyClientCert, MinVersion: tls.VersionTLS13,
 	}
-	near, far := net.Pipe()
-	defer near.Close()
-	defer far.Close()
-	is.NoErr(near.SetDeadline(now.Add(5 * time.Second)))
-	is.NoErr(far.SetDeadline(now.Add(5 * time.Second)))
-	accepted := make(chan error, 1)
+	clientConn, serverConn := net.Pipe()
+	defer clientConn.Close()
+	defer serverConn.Close()
+	is.NoErr(clientConn.SetDeadline(now.Add(5 * time.Second)))
+	is.NoErr(serverConn.SetDeadline(now.Add(5 * time.Second)))
+	serverErr := make(chan error, 1)
 	go func() {
-		server := tls.Server(far, config)
-		accepted <- server.Handshake()
+		server := tls.Server(serverConn, config)
+		serverErr <- server.Handshake()
 	}()
-	is.NoErr(tls.Client(near, config).Handshake())
-	is.NoErr(<-accepted)
+	is.NoErr(tls.Client(clientConn, config).Handshake())
+	is.NoErr(<-serverErr)
 }
--- a/ctl/issuer/keys.go
+++ b/ctl/issuer/keys.go
@@ -16,27 +16,29 @@
 	"github.com/pkg/errors"
 )
 
-// Names of the files that Keys writes.
+// Names of the PEM files that Keys writes.
 const (
 	FileCA   = "ca.pem"
 	FileCert = "cert.pem"
 	FileKey  = "key.pem"
 )
 
-// skew is how far the clocks of the instances may differ.
-const skew = time.Hour
+// maxClockSkew is the largest clock difference between instances that a new
+// certificate tolerates.
+const maxClockSkew = time.Hour
 
-// Request describes the peer certificate.
+// Request describes the peer certificate to issue.
 type Request struct {
 	Names     []string
 	Addresses []net.IP
 	Lifetime  time.Duration
 }
 
-// Keys creates a cluster CA and one peer certificate in a directory. The CA's
-// key is not kept, so the CA can't sign anything else.
+// Keys creates a cluster CA and one peer certificate and writes them to a
+// directory. The CA's private key is not kept, so that the CA can't sign another
+// certificate. Keys fails when one of the files exists.
 func Keys(now time.Time, dir string, request Request) error {
-	files, err := certify(now, request)
+	files, err := issueCertificates(now, request)
 	if err != nil {
 		return err
 	}
@@ -49,78 +51,81 @@
 		}
 	}
 	for _, name := range []string{FileCA, FileCert, FileKey} {
-		if err := write(filepath.Join(dir, name), files[name]); err != nil {
+		if err := writeFile(filepath.Join(dir, name), files[name]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func certify(now time.Time, request Request) (map[string][]byte, error) {
-	authority := template(now, request.Lifetime, "sycamorerun cluster CA")
-	authority.IsCA, authority.BasicConstraintsValid, authority.MaxPathLenZero = true, true, true
-	authority.KeyUsage = x509.KeyUsageCertSign
-	peer := template(now, request.Lifetime, "sycamorerun peer")
+// issueCertificates returns the contents of the PEM files by file name.
+func issueCertificates(now time.Time, request Request) (map[string][]byte, error) {
+	ca := newTemplate(now, request.Lifetime, "sycamorerun cluster CA")
+	ca.IsCA, ca.BasicConstraintsValid, ca.MaxPathLenZero = true, true, true
+	ca.KeyUsage = x509.KeyUsageCertSign
+	peer := newTemplate(now, request.Lifetime, "sycamorerun peer")
 	peer.KeyUsage = x509.KeyUsageDigitalSignature
 	peer.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	peer.DNSNames, peer.IPAddresses = request.Names, request.Addresses
 
-	authorityPublic, authorityKey, err := ed25519.GenerateKey(rand.Reader)
+	caPublicKey, caPrivateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "generate key")
 	}
-	peerPublic, peerKey, err := ed25519.GenerateKey(rand.Reader)
+	peerPublicKey, peerPrivateKey, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "generate key")
 	}
-	authorityPEM, err := sign(authority, authority, authorityPublic, authorityKey)
+	caPEM, err := signCertificate(ca, ca, caPublicKey, caPrivateKey)
 	if err != nil {
 		return nil, err
 	}
-	peerPEM, err := sign(peer, authority, peerPublic, authorityKey)
+	peerPEM, err := signCertificate(peer, ca, peerPublicKey, caPrivateKey)
 	if err != nil {
 		return nil, err
 	}
-	key, err := x509.MarshalPKCS8PrivateKey(peerKey)
+	key, err := x509.MarshalPKCS8PrivateKey(peerPrivateKey)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode key")
 	}
 	return map[string][]byte{
-		FileCA: authorityPEM, FileCert: peerPEM,
+		FileCA: caPEM, FileCert: peerPEM,
 		FileKey: pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: key}),
 	}, nil
 }
 
-func template(now time.Time, lifetime time.Duration, name string) *x509.Certificate {
+func newTemplate(now time.Time, lifetime time.Duration, name string) *x509.Certificate {
 	serial := make([]byte, 16)
 	rand.Read(serial)
-	// A serial number is positive and has at most 20 bytes (RFC 5280, 4.1.2.2).
+	// A serial number is positive and at most 20 bytes long (RFC 5280, section
+	// 4.1.2.2).
 	serial[0] = serial[0]&0x7f | 1
 	return &x509.Certificate{
 		SerialNumber: new(big.Int).SetBytes(serial),
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-skew),
+		NotBefore:    now.Add(-maxClockSkew),
 		NotAfter:     now.Add(lifetime),
 	}
 }
 
-func sign(certificate, parent *x509.Certificate, public crypto.PublicKey, key crypto.Signer) ([]byte, error) {
-	data, err := x509.CreateCertificate(rand.Reader, certificate, parent, public, key)
+func signCertificate(certificate, parent *x509.Certificate, publicKey crypto.PublicKey, signer crypto.Signer) ([]byte, error) {
+	data, err := x509.CreateCertificate(rand.Reader, certificate, parent, publicKey, signer)
 	if err != nil {
 		return nil, errors.Wrap(err, "sign certificate")
 	}
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: data}), nil
 }
 
-// write creates the file for its owner only and fails when it exists.
-func write(name string, data []byte) error {
+// writeFile creates a file that only its owner can access. It fails when the
+// file exists.
+func writeFile(name string, data []byte) error {
 	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "create file")
 	}
 	_, err = file.Write(data)
-	if closing := file.Close(); err == nil {
-		err = closing
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return errors.Wrap(err, "write file")
 }
--- a/ctl/issuer/token.go
+++ b/ctl/issuer/token.go
@@ -1,4 +1,5 @@
-// Package issuer makes operators' tokens and certificates for tests and demos.
+// Package issuer generates operators' tokens, and certificates for tests and
+// demos.
 package issuer
 
 import (
@@ -9,8 +10,9 @@
 
 const tokenBytes = 32
 
-// Token returns a random token as text and the hash that a settings file has
-// for it: SHA-256 over the text, as it is sent in the Authorization header.
+// Token generates a random token in hex and the hash that identifies it in a
+// settings file: SHA-256 over the hex text, which is what the Authorization header
+// carries.
 func Token() (token, hash string) {
 	var secret [tokenBytes]byte
 	rand.Read(secret[:])
@@ -18,7 +20,7 @@
 	return token, Hash(token)
 }
 
-// Hash returns the hash of a token's text.
+// Hash returns the hash of a token in the form that settings files use.
 func Hash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return "sha256:" + hex.EncodeToString(sum[:])
