--- a/ctl/commander/change.go
+++ b/ctl/commander/change.go
@@ -158,7 +158,7 @@
 		if c.Terminal {
 			shown = true
 			fmt.Fprintf(c.Err, "\rversion %d: %d of %d nodes, %d silent\x1b[K",
-				version, requester.Reached(found, version), found.Nodes, found.Silent)
+				version, requester.NodesWithVersion(found, version), found.Nodes, found.Silent)
 		}
 	})
 	if shown {
--- a/ctl/commander/commander.go
+++ b/ctl/commander/commander.go
@@ -185,9 +185,9 @@
 		return nil, usage(err)
 	}
 	r.Token = c.token
-	r.Attempt = c.timeout / time.Duration(len(c.servers)+1)
+	r.AttemptTimeout = c.timeout / time.Duration(len(c.servers)+1)
 	if c.Interval > 0 {
-		r.Interval = c.Interval
+		r.PollInterval = c.Interval
 	}
 	return r, nil
 }
--- a/ctl/commander/exit.go
+++ b/ctl/commander/exit.go
@@ -26,11 +26,11 @@
 )
 
 var exitsByKind = map[requester.Kind]int{
-	requester.Unreachable:  ExitUnreachable,
-	requester.Unauthorized: ExitUnauthorized,
-	requester.Invalid:      ExitRefused,
-	requester.Unknown:      ExitUnknown,
-	requester.Late:         ExitLate,
+	requester.Unreachable:    ExitUnreachable,
+	requester.Unauthorized:   ExitUnauthorized,
+	requester.Invalid:        ExitRefused,
+	requester.OutcomeUnknown: ExitUnknown,
+	requester.NotConverged:   ExitLate,
 }
 
 var exitsByStatus = map[sycamorerun.Status]int{
@@ -96,7 +96,7 @@
 	if c.output == printer.JSON {
 		body := map[string]any{"exit": code, "reason": err.Error()}
 		if failure != nil {
-			body["kind"], body["code"], body["id"] = failure.Kind, failure.Code, failure.ID
+			body["kind"], body["code"], body["id"] = failure.Kind, failure.Code, failure.ChangeID
 		}
 		if printer.Printer.Print(printer.Printer{Out: c.Err, Format: printer.JSON}, body, nil) == nil {
 			return
--- a/ctl/commander/review.go
+++ b/ctl/commander/review.go
@@ -106,5 +106,5 @@
 			Kind: string(kind), Team: args[0], Proposal: &proposal.ID, Content: &content,
 		}, wait)
 	}
-	return &requester.Failure{Kind: requester.Missing, Reason: fmt.Sprintf("team %s has no proposal %s", args[0], args[1])}
+	return &requester.Failure{Kind: requester.NotFound, Reason: fmt.Sprintf("team %s has no proposal %s", args[0], args[1])}
 }
--- a/ctl/requester/change.go
+++ b/ctl/requester/change.go
@@ -8,13 +8,14 @@
 	"sycamorerun/api/gen/settings"
 )
 
-// retryLimit bounds the wait that a node may ask for.
-const retryLimit = 5 * time.Second
+// maxRetryDelay limits the delay that a node may ask for.
+const maxRetryDelay = 5 * time.Second
 
-// Change submits a change until its outcome is known. A node that does not
-// answer is followed by the next one. After a request that may have arrived,
-// the outcome is queried by the change's id first, and the change is submitted
-// again with the same id only when no node knows it.
+// Change submits a change and retries until its outcome is known. It fails over
+// to the next node when one does not respond. After a submission that a node may
+// have received, it queries the outcome by the change's id, and submits the
+// change again, under the same id, only when a node answers that it does not
+// know the id.
 func (r *Requester) Change(ctx context.Context, payload *settings.SubmitPayload) (*settings.Outcome, error) {
 	payload.Token = r.Authorization()
 	submit := func(ctx context.Context, node *Node) (*settings.Outcome, error) {
@@ -23,63 +24,66 @@
 	query := func(ctx context.Context, node *Node) (*settings.Outcome, error) {
 		return node.Settings.OutcomeEndpoint(ctx, &settings.OutcomePayload{Token: payload.Token, ID: payload.ID})
 	}
-	// sent means that the change may have been received; ask means that the
-	// next request is a query.
-	sent, ask := false, false
-	var last *Failure
-	for failed := 0; ; {
-		do := submit
-		if ask {
-			do = query
+	// sent means that a node may have received the change; queryNext means that
+	// the next request queries the outcome.
+	sent, queryNext := false, false
+	var lastFailure *Failure
+	for failedNodes := 0; ; {
+		call := submit
+		if queryNext {
+			call = query
 		}
-		outcome, failure := exchange(ctx, r, do)
-		wait := r.Interval
+		outcome, failure := callNode(ctx, r, call)
+		delay := r.PollInterval
 		switch {
 		case failure == nil && outcome.Status != string(sycamorerun.StatusUnknown):
 			return outcome, nil
 		case failure == nil:
-			sent, ask, failed = true, true, 0
-			last = &Failure{Server: r.nodes[r.current].Server, Reason: "the node does not know the outcome yet"}
+			sent, queryNext, failedNodes = true, true, 0
+			lastFailure = &Failure{Server: r.nodes[r.current].Server, Reason: "the node does not know the outcome yet"}
 			if outcome.Retry != nil {
-				wait = pause(wait, time.Duration(*outcome.Retry)*time.Millisecond)
+				delay = clampRetryDelay(delay, time.Duration(*outcome.Retry)*time.Millisecond)
 			}
-		case failure.Kind == Missing && ask:
-			ask, last = false, failure
+		case failure.Kind == NotFound && queryNext:
+			queryNext, lastFailure = false, failure
 		case failure.Kind == Unreachable:
-			last = failure
-			sent = sent || (failure.Sent && !ask)
-			ask = sent
-			r.next()
-			if failed++; failed < len(r.nodes) {
-				wait = 0
+			lastFailure = failure
+			sent = sent || (failure.Sent && !queryNext)
+			queryNext = sent
+			r.selectNext()
+			if failedNodes++; failedNodes < len(r.nodes) {
+				delay = 0
 				break
 			}
-			failed = 0
+			failedNodes = 0
 			if !sent {
 				return nil, failure
 			}
-			wait = pause(wait, failure.Retry)
-		case failure.Kind == Broken && failure.Sent && !ask:
-			sent, ask, last = true, true, failure
+			delay = clampRetryDelay(delay, failure.RetryAfter)
+		case failure.Kind == InvalidResponse && failure.Sent && !queryNext:
+			sent, queryNext, lastFailure = true, true, failure
 		case sent:
-			return nil, unknown(payload.ID, failure)
+			return nil, newOutcomeUnknown(payload.ID, failure)
 		default:
 			return nil, failure
 		}
-		if !sleep(ctx, wait) {
+		if !sleep(ctx, delay) {
 			if sent {
-				return nil, unknown(payload.ID, last)
+				return nil, newOutcomeUnknown(payload.ID, lastFailure)
 			}
-			return nil, last
+			return nil, lastFailure
 		}
 	}
 }
 
-// pause returns the node's wait within the bounds.
-func pause(least, asked time.Duration) time.Duration {
-	return min(max(least, asked), retryLimit)
+// clampRetryDelay returns the delay that the node asked for, within minimum and
+// maxRetryDelay.
+func clampRetryDelay(minimum, requested time.Duration) time.Duration {
+	return min(max(minimum, requested), maxRetryDelay)
 }
 
-func unknown(id string, last *Failure) *Failure {
-	return &Failure{Kind: Unknown, ID: id, Server: last.Server, Code: last.Code, Reason: last.Reason, Sent: true}
+// newOutcomeUnknown returns the failure for a change whose outcome could not be
+// determined, with the details of the last failure.
+func newOutcomeUnknown(id string, lastFailure *Failure) *Failure {
+	return &Failure{Kind: OutcomeUnknown, ChangeID: id, Server: lastFailure.Server, Code: lastFailure.Code, Reason: lastFailure.Reason, Sent: true}
 }
--- a/ctl/requester/node.go
+++ b/ctl/requester/node.go
@@ -17,36 +17,37 @@
 	"sycamorerun/api/gen/settings"
 )
 
-// answerBytes bounds an answer. The largest is the whole tree, 4 MiB of items
-// that are written as JSON strings.
-const answerBytes = 16 << 20
+// maxResponseBytes limits a response body. The largest response is the whole
+// tree: 4 MiB of items, which grow when they are encoded as JSON strings.
+const maxResponseBytes = 16 << 20
 
-// Node is the API of one node.
+// Node is a client of one node's API.
 type Node struct {
 	Server   string
 	Settings *settings.Client
 	Fleet    *fleet.Client
-	// attempt is the last exchange with the node.
-	attempt *attempt
+	// recorder holds what is known about the last exchange with the node.
+	recorder *exchangeRecorder
 }
 
 func newNode(server *url.URL, client *http.Client) *Node {
-	attempt := &attempt{client: client}
-	s := settingsclient.NewClient(server.Scheme, server.Host, attempt, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
-	f := fleetclient.NewClient(server.Scheme, server.Host, attempt, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	recorder := &exchangeRecorder{client: client}
+	s := settingsclient.NewClient(server.Scheme, server.Host, recorder, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	f := fleetclient.NewClient(server.Scheme, server.Host, recorder, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	return &Node{
 		Server: server.Host,
 		Settings: settings.NewClient(
 			s.Read(), s.Submit(), s.OutcomeEndpoint(), s.Check(), s.Proposals(), s.History(),
 		),
-		Fleet:   fleet.NewClient(f.Status(), f.Members(), f.Routes(), f.Convergence(), f.Explain()),
-		attempt: attempt,
+		Fleet:    fleet.NewClient(f.Status(), f.Members(), f.Routes(), f.Convergence(), f.Explain()),
+		recorder: recorder,
 	}
 }
 
-// attempt performs requests and records what the generated client's errors
-// don't tell: whether the request was sent and which status came back.
-type attempt struct {
+// exchangeRecorder performs requests and records what the generated client's
+// errors do not report: whether the request may have been sent, the response's
+// status and the transport error.
+type exchangeRecorder struct {
 	client *http.Client
 
 	mutex  sync.Mutex
@@ -55,86 +56,88 @@
 	err    error
 }
 
-// Do implements the generated client's Doer.
-func (a *attempt) Do(request *http.Request) (*http.Response, error) {
+// Do implements goahttp.Doer, which the generated clients call.
+func (r *exchangeRecorder) Do(request *http.Request) (*http.Response, error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
-		a.set(func() { a.sent = true })
+		r.update(func() { r.sent = true })
 	}}
-	response, err := a.client.Do(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
+	response, err := r.client.Do(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
 	if err != nil {
-		a.set(func() { a.err = err })
+		r.update(func() { r.err = err })
 		return nil, err
 	}
-	a.set(func() { a.status = response.StatusCode })
-	response.Body = http.MaxBytesReader(nil, response.Body, answerBytes)
+	r.update(func() { r.status = response.StatusCode })
+	response.Body = http.MaxBytesReader(nil, response.Body, maxResponseBytes)
 	return response, nil
 }
 
-// reset forgets the last exchange, because a request that can't be encoded
-// does not reach Do.
-func (a *attempt) reset() {
-	a.set(func() { a.sent, a.status, a.err = false, 0, nil })
+// reset clears the record of the last exchange. Do can't clear it, because a
+// request that fails to encode never reaches Do.
+func (r *exchangeRecorder) reset() {
+	r.update(func() { r.sent, r.status, r.err = false, 0, nil })
 }
 
-func (a *attempt) set(change func()) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	change()
+func (r *exchangeRecorder) update(apply func()) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	apply()
 }
 
-// kinds maps the names of the API's errors and the statuses of answers that
-// have no such error.
+// A response is classified by the name of its API error or, when it has none,
+// by its HTTP status.
 var (
-	kindsByName = map[string]Kind{
+	kindByErrorName = map[string]Kind{
 		"unauthorized": Unauthorized, "forbidden": Unauthorized, "invalid": Invalid,
-		"missing": Missing, "unavailable": Unreachable,
+		"missing": NotFound, "unavailable": Unreachable,
 	}
-	kindsByStatus = map[int]Kind{
+	kindByHTTPStatus = map[int]Kind{
 		http.StatusUnauthorized: Unauthorized, http.StatusForbidden: Unauthorized,
 		http.StatusBadRequest: Invalid, http.StatusRequestEntityTooLarge: Invalid,
-		http.StatusNotFound: Missing, http.StatusBadGateway: Unreachable,
+		http.StatusNotFound: NotFound, http.StatusBadGateway: Unreachable,
 		http.StatusServiceUnavailable: Unreachable, http.StatusGatewayTimeout: Unreachable,
 	}
 )
 
-// failure classifies the error of the last exchange.
-func (n *Node) failure(err error) *Failure {
-	n.attempt.mutex.Lock()
-	defer n.attempt.mutex.Unlock()
-	failure := &Failure{Kind: Broken, Server: n.Server, Reason: err.Error(), Sent: n.attempt.sent}
-	var ofSettings *settings.Problem
-	var ofFleet *fleet.Problem
+// classify converts the error of the last exchange to a Failure.
+func (n *Node) classify(err error) *Failure {
+	n.recorder.mutex.Lock()
+	defer n.recorder.mutex.Unlock()
+	failure := &Failure{Kind: InvalidResponse, Server: n.Server, Reason: err.Error(), Sent: n.recorder.sent}
+	var settingsProblem *settings.Problem
+	var fleetProblem *fleet.Problem
 	switch {
-	case errors.As(err, &ofSettings):
-		failure.problem(ofSettings.Name, ofSettings.Code, ofSettings.Reason, ofSettings.Retry)
-	case errors.As(err, &ofFleet):
-		failure.problem(ofFleet.Name, ofFleet.Code, ofFleet.Reason, ofFleet.Retry)
-	case n.attempt.err != nil:
-		failure.Kind, failure.Reason = Unreachable, cause(n.attempt.err)
-	case kindsByStatus[n.attempt.status] != "":
-		failure.Kind = kindsByStatus[n.attempt.status]
-	case n.attempt.status == http.StatusOK:
-		// The connection may have broken within the answer.
+	case errors.As(err, &settingsProblem):
+		failure.setProblem(settingsProblem.Name, settingsProblem.Code, settingsProblem.Reason, settingsProblem.Retry)
+	case errors.As(err, &fleetProblem):
+		failure.setProblem(fleetProblem.Name, fleetProblem.Code, fleetProblem.Reason, fleetProblem.Retry)
+	case n.recorder.err != nil:
+		failure.Kind, failure.Reason = Unreachable, trimURLError(n.recorder.err)
+	case kindByHTTPStatus[n.recorder.status] != "":
+		failure.Kind = kindByHTTPStatus[n.recorder.status]
+	case n.recorder.status == http.StatusOK:
+		// The connection may have been lost within the response body.
 		failure.Kind = Unreachable
 	}
 	return failure
 }
 
-func (f *Failure) problem(name, code, reason string, retry *int64) {
+// setProblem copies the details of an API error into the failure.
+func (f *Failure) setProblem(name, code, reason string, retry *int64) {
 	f.Code, f.Reason = code, reason
-	if kind, ok := kindsByName[name]; ok {
+	if kind, ok := kindByErrorName[name]; ok {
 		f.Kind = kind
 	}
 	if retry != nil {
-		f.Retry = time.Duration(*retry) * time.Millisecond
+		f.RetryAfter = time.Duration(*retry) * time.Millisecond
 	}
 }
 
-// cause drops the method and URL that net/http puts before an error.
-func cause(err error) string {
-	var inURL *url.Error
-	if errors.As(err, &inURL) {
-		err = inURL.Err
+// trimURLError returns the text of err without the method and URL that net/http
+// prepends.
+func trimURLError(err error) string {
+	var urlErr *url.Error
+	if errors.As(err, &urlErr) {
+		err = urlErr.Err
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		return "no answer in time"
--- a/ctl/requester/requester.go
+++ b/ctl/requester/requester.go
@@ -1,5 +1,5 @@
-// Package requester calls the operators' API of the nodes and moves to the
-// next node when one does not answer.
+// Package requester is a client of the nodes' operators' API. It fails over to
+// the next node when one does not respond.
 package requester
 
 import (
@@ -13,28 +13,28 @@
 	pkgerrors "github.com/pkg/errors"
 )
 
-// Requester calls one of several nodes.
+// Requester calls one of several nodes at a time.
 type Requester struct {
-	// Token authenticates the operator; empty sends none.
+	// Token authenticates the operator; no token is sent when it is empty.
 	Token string
-	// Attempt bounds one exchange with one node.
-	Attempt time.Duration
-	// Interval is the pause between two queries of the same state.
-	Interval time.Duration
+	// AttemptTimeout limits a single request to one node.
+	AttemptTimeout time.Duration
+	// PollInterval is the delay between repeated queries of the same state.
+	PollInterval time.Duration
 
 	nodes []*Node
-	// current is the node that answered last.
+	// current is the index of the node that requests go to.
 	current int
 }
 
-// New returns a requester for servers, given as "host:port" or URL.
+// New returns a requester for servers, each given as "host:port" or as a URL.
 func New(servers []string) (*Requester, error) {
 	client := &http.Client{
-		// A redirect would send the token to another host.
+		// Following a redirect would send the token to another host.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport:     &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute},
 	}
-	r := &Requester{Attempt: 10 * time.Second, Interval: 200 * time.Millisecond}
+	r := &Requester{AttemptTimeout: 10 * time.Second, PollInterval: 200 * time.Millisecond}
 	for _, server := range servers {
 		address, err := parseServer(server)
 		if err != nil {
@@ -61,7 +61,8 @@
 	return address, nil
 }
 
-// Authorization returns the value of the token attribute of every payload.
+// Authorization returns the value of the Authorization header, which every
+// payload carries as its token, or nil without a token.
 func (r *Requester) Authorization() *string {
 	if r.Token == "" {
 		return nil
@@ -70,44 +71,44 @@
 	return &value
 }
 
-// Read calls a method that changes nothing, at each node once until one
-// answers.
-func Read[T any](ctx context.Context, r *Requester, do func(context.Context, *Node) (T, error)) (T, error) {
-	var none T
+// Read calls a read-only method on the nodes in turn, once each, until one
+// responds.
+func Read[T any](ctx context.Context, r *Requester, call func(context.Context, *Node) (T, error)) (T, error) {
+	var zero T
 	var failure *Failure
 	for range r.nodes {
-		answer, err := exchange(ctx, r, do)
+		result, err := callNode(ctx, r, call)
 		if err == nil {
-			return answer, nil
+			return result, nil
 		}
 		if failure = err; failure.Kind != Unreachable || ctx.Err() != nil {
 			break
 		}
-		r.next()
+		r.selectNext()
 	}
-	return none, failure
+	return zero, failure
 }
 
-// exchange calls the current node once.
-func exchange[T any](ctx context.Context, r *Requester, do func(context.Context, *Node) (T, error)) (T, *Failure) {
-	ctx, cancel := context.WithTimeout(ctx, r.Attempt)
+// callNode calls the current node once, within AttemptTimeout.
+func callNode[T any](ctx context.Context, r *Requester, call func(context.Context, *Node) (T, error)) (T, *Failure) {
+	ctx, cancel := context.WithTimeout(ctx, r.AttemptTimeout)
 	defer cancel()
 	node := r.nodes[r.current]
-	node.attempt.reset()
-	answer, err := do(ctx, node)
+	node.recorder.reset()
+	result, err := call(ctx, node)
 	if err != nil {
-		return answer, node.failure(err)
+		return result, node.classify(err)
 	}
-	return answer, nil
+	return result, nil
 }
 
-func (r *Requester) next() {
+func (r *Requester) selectNext() {
 	r.current = (r.current + 1) % len(r.nodes)
 }
 
-// sleep waits for the duration and reports whether ctx still holds.
-func sleep(ctx context.Context, wait time.Duration) bool {
-	timer := time.NewTimer(wait)
+// sleep waits for the delay and reports whether ctx is still active.
+func sleep(ctx context.Context, delay time.Duration) bool {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -117,7 +118,7 @@
 	}
 }
 
-// AsFailure returns the failure in err, or nil.
+// AsFailure returns the Failure in err's chain, or nil.
 func AsFailure(err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
--- a/ctl/requester/wait.go
+++ b/ctl/requester/wait.go
@@ -7,49 +7,51 @@
 	"sycamorerun/api/gen/fleet"
 )
 
-// Convergence asks the fleet which versions are in force.
+// Convergence returns the versions in force on the fleet's nodes.
 func (r *Requester) Convergence(ctx context.Context) (*fleet.ConvergenceResult, error) {
 	return Read(ctx, r, func(ctx context.Context, node *Node) (*fleet.ConvergenceResult, error) {
 		return node.Fleet.Convergence(ctx, &fleet.ConvergencePayload{Token: r.Authorization()})
 	})
 }
 
-// Wait asks until every node has at least version. It reports each answer to
-// progress, and fails with Late when ctx ends first.
+// Wait polls the fleet until every node has at least version. It passes each
+// result to progress. When ctx ends first, it fails with NotConverged, or with
+// Unreachable if no node has responded.
 func (r *Requester) Wait(ctx context.Context, version uint64, progress func(*fleet.ConvergenceResult)) (*fleet.ConvergenceResult, error) {
-	var last *fleet.ConvergenceResult
+	var lastResult *fleet.ConvergenceResult
 	for {
-		found, err := r.Convergence(ctx)
+		result, err := r.Convergence(ctx)
 		failure := AsFailure(err)
 		switch {
 		case err == nil:
-			last = found
-			progress(found)
-			if Reached(found, version) == found.Nodes && found.Nodes > 0 && found.Silent == 0 {
-				return found, nil
+			lastResult = result
+			progress(result)
+			if NodesWithVersion(result, version) == result.Nodes && result.Nodes > 0 && result.Silent == 0 {
+				return result, nil
 			}
 		case failure == nil || failure.Kind != Unreachable:
-			return last, err
+			return lastResult, err
 		}
-		if !sleep(ctx, r.Interval) {
-			return last, late(version, last, failure)
+		if !sleep(ctx, r.PollInterval) {
+			return lastResult, newNotConverged(version, lastResult, failure)
 		}
 	}
 }
 
-// late returns the failure to reach any node when that is all there was.
-func late(version uint64, last *fleet.ConvergenceResult, failure *Failure) *Failure {
-	if last == nil {
-		return failure
+// newNotConverged returns the failure for a wait that timed out. When no node
+// ever responded, it is the failure of the last query.
+func newNotConverged(version uint64, lastResult *fleet.ConvergenceResult, lastFailure *Failure) *Failure {
+	if lastResult == nil {
+		return lastFailure
 	}
-	return &Failure{Kind: Late, Reason: fmt.Sprintf("version %d is not in force everywhere: %d of %d nodes have it, %d are silent",
-		version, Reached(last, version), last.Nodes, last.Silent)}
+	return &Failure{Kind: NotConverged, Reason: fmt.Sprintf("version %d is not in force everywhere: %d of %d nodes have it, %d are silent",
+		version, NodesWithVersion(lastResult, version), lastResult.Nodes, lastResult.Silent)}
 }
 
-// Reached counts the nodes that have at least version.
-func Reached(found *fleet.ConvergenceResult, version uint64) int {
+// NodesWithVersion returns the number of nodes that have at least version.
+func NodesWithVersion(result *fleet.ConvergenceResult, version uint64) int {
 	nodes := 0
-	for _, tally := range found.Tallies {
+	for _, tally := range result.Tallies {
 		if tally.Version >= version {
 			nodes += tally.Nodes
 		}
