--- a/ctl/commander/exit.go
+++ b/ctl/commander/exit.go
@@ -102,7 +102,7 @@
 			return
 		}
 	}
-	io.WriteString(c.Err, printer.Clean("srctl: "+err.Error()+"\n"))
+	io.WriteString(c.Err, printer.Sanitize("srctl: "+err.Error()+"\n"))
 	if code == ExitUsage {
 		io.WriteString(c.Err, "See srctl --help.\n")
 	}
--- a/ctl/printer/difference.go
+++ b/ctl/printer/difference.go
@@ -10,8 +10,8 @@
 	"sycamorerun/api/gen/settings"
 )
 
-// Differences writes one line for each item and, for a changed item, one for
-// each field that differs.
+// Differences writes one line per item and, for a changed item, one further line
+// per field that differs.
 func Differences(w io.Writer, differences []*settings.Difference) {
 	for _, difference := range differences {
 		switch {
@@ -23,32 +23,34 @@
 			fmt.Fprintf(w, "- %s %s\n", difference.Path, *difference.Before)
 		default:
 			fmt.Fprintf(w, "~ %s\n", difference.Path)
-			fields(w, *difference.Before, *difference.After)
+			writeFieldChanges(w, *difference.Before, *difference.After)
 		}
 	}
 }
 
-func fields(w io.Writer, before, after string) {
-	var old, next map[string]json.RawMessage
-	if json.Unmarshal([]byte(before), &old) != nil || json.Unmarshal([]byte(after), &next) != nil {
+// writeFieldChanges writes the fields that differ between two items, which are
+// JSON objects. It writes items of other forms as a whole.
+func writeFieldChanges(w io.Writer, before, after string) {
+	var oldFields, newFields map[string]json.RawMessage
+	if json.Unmarshal([]byte(before), &oldFields) != nil || json.Unmarshal([]byte(after), &newFields) != nil {
 		fmt.Fprintf(w, "    - %s\n    + %s\n", before, after)
 		return
 	}
 	names := map[string]bool{}
-	for name := range old {
+	for name := range oldFields {
 		names[name] = true
 	}
-	for name := range next {
+	for name := range newFields {
 		names[name] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		if string(old[name]) != string(next[name]) {
-			fmt.Fprintf(w, "    %s: %s -> %s\n", name, absent(old[name]), absent(next[name]))
+		if string(oldFields[name]) != string(newFields[name]) {
+			fmt.Fprintf(w, "    %s: %s -> %s\n", name, formatField(oldFields[name]), formatField(newFields[name]))
 		}
 	}
 }
 
-func absent(value json.RawMessage) string {
+func formatField(value json.RawMessage) string {
 	if value == nil {
 		return "(none)"
 	}
