--- a/ctl/cmd/srctl/main.go
+++ b/ctl/cmd/srctl/main.go
@@ -15,9 +15,9 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	commander := &commander.Commander{
 		In: os.Stdin, Out: os.Stdout, Err: os.Stderr,
-		Terminal:    terminal(os.Stderr),
-		Environment: os.Getenv,
-		Now:         time.Now,
+		Terminal: terminal(os.Stderr),
+		Getenv:   os.Getenv,
+		Now:      time.Now,
 	}
 	code := commander.Execute(ctx, os.Args[1:])
 	stop()
--- a/ctl/commander/change.go
+++ b/ctl/commander/change.go
@@ -18,7 +18,7 @@
 	"sycamorerun/ctl/requester"
 )
 
-func waitFlag(command *cobra.Command, wait *bool) {
+func addWaitFlag(command *cobra.Command, wait *bool) {
 	command.Flags().BoolVar(wait, "wait", false, "wait within --timeout until every node has the version")
 }
 
@@ -29,16 +29,16 @@
 		Use: "hold TEAM", Short: "Block changes to a team's settings", GroupID: groupSettings,
 		Example: "  srctl hold quoting --reason \"harvest week\"\n  srctl hold quoting --reason \"incident 12\" --until 2h",
 		Args:    cobra.ExactArgs(1),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			payload := &settings.SubmitPayload{Kind: string(sycamorerun.Place), Reason: &reason}
 			if until != "" {
 				end, err := parseUntil(c.Now(), until)
 				if err != nil {
-					return usage(err)
+					return usageError(err)
 				}
 				payload.Until = &end
 			}
-			return c.teamChange(ctx, args[0], payload, wait)
+			return c.submitTeamChange(ctx, args[0], payload, wait)
 		}),
 	}
 	hold.Flags().StringVar(&reason, "reason", "", "why changes are blocked")
@@ -50,8 +50,8 @@
 		Use: "release TEAM", Short: "End the hold on a team's settings", GroupID: groupSettings,
 		Example: "  srctl release quoting",
 		Args:    cobra.ExactArgs(1),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
-			return c.teamChange(ctx, args[0], &settings.SubmitPayload{Kind: string(sycamorerun.Release)}, wait)
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
+			return c.submitTeamChange(ctx, args[0], &settings.SubmitPayload{Kind: string(sycamorerun.Release)}, wait)
 		}),
 	}
 	var base uint64
@@ -63,16 +63,16 @@
 back, and other teams' settings stay as they are.`,
 		Example: "  srctl history quoting\n  srctl revert quoting 41 --wait",
 		Args:    cobra.ExactArgs(2),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			version, err := parseVersion(args[1])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			payload := &settings.SubmitPayload{Kind: string(sycamorerun.Revert), Version: &version}
 			if base > 0 {
 				payload.Base = &base
 			}
-			return c.teamChange(ctx, args[0], payload, wait)
+			return c.submitTeamChange(ctx, args[0], payload, wait)
 		}),
 	}
 	revert.Flags().Uint64Var(&base, "base", 0, "`VERSION` that the decision was made from; a later change of the team is a conflict")
@@ -81,22 +81,24 @@
 		Long:    "Show how a change ended. The exit code is that of the command that submitted it.",
 		Example: "  srctl outcome 6f1c3f2e-4f5b-4a53-9a59-3c1d9f2f7a10",
 		Args:    cobra.ExactArgs(1),
-		RunE:    c.run(c.outcome),
+		RunE:    c.runE(c.outcome),
 	}
 	for _, command := range []*cobra.Command{hold, release, revert} {
-		waitFlag(command, &wait)
+		addWaitFlag(command, &wait)
 	}
 	return []*cobra.Command{hold, release, revert, outcome}
 }
 
+// parseUntil converts the end of a hold, a duration from now or a time, to UTC in
+// RFC 3339.
 func parseUntil(now time.Time, text string) (string, error) {
 	end, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		length, err := time.ParseDuration(text)
+		duration, err := time.ParseDuration(text)
 		if err != nil {
 			return "", errors.Errorf("--until %q is neither a duration such as 2h nor a time such as 2026-01-02T15:04:05Z", text)
 		}
-		end = now.Add(length)
+		end = now.Add(duration)
 	}
 	if !end.After(now) {
 		return "", errors.Errorf("--until %q is not in the future", text)
@@ -107,27 +109,28 @@
 func parseVersion(text string) (uint64, error) {
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || version == 0 {
-		return 0, errors.Errorf("%q is not a version, a decimal number from 1", text)
+		return 0, errors.Errorf("%q is not a version: want a decimal number greater than 0", text)
 	}
 	return version, nil
 }
 
-// teamChange submits a change that has no settings file.
-func (c *Commander) teamChange(ctx context.Context, name string, payload *settings.SubmitPayload, wait bool) error {
-	name, err := team(name)
+// submitTeamChange submits a change to a team that needs no settings file.
+func (c *Commander) submitTeamChange(ctx context.Context, name string, payload *settings.SubmitPayload, wait bool) error {
+	name, err := parseTeam(name)
 	if err != nil {
 		return err
 	}
-	r, err := c.requester()
+	r, err := c.newRequester()
 	if err != nil {
 		return err
 	}
 	payload.Team = name
-	return c.change(ctx, r, payload, wait)
+	return c.submitChange(ctx, r, payload, wait)
 }
 
-// change submits a change, prints its outcome and waits for the fleet.
-func (c *Commander) change(ctx context.Context, r *requester.Requester, payload *settings.SubmitPayload, wait bool) error {
+// submitChange submits a change and prints its outcome. With wait, it then waits
+// until every node has the accepted version.
+func (c *Commander) submitChange(ctx context.Context, r *requester.Requester, payload *settings.SubmitPayload, wait bool) error {
 	if payload.ID == "" {
 		payload.ID = uuid.NewString()
 	}
@@ -139,32 +142,32 @@
 		return err
 	}
 	if outcome.Status != string(sycamorerun.StatusAccepted) || !wait || outcome.Version == nil {
-		return ended(outcome)
+		return outcomeError(outcome)
 	}
-	found, err := c.await(ctx, r, *outcome.Version)
+	convergence, err := c.awaitVersion(ctx, r, *outcome.Version)
 	if err != nil || c.output == printer.JSON {
 		return err
 	}
 	return c.print(nil, func(w io.Writer) {
-		fmt.Fprintf(w, "version %d is in force on all %d nodes\n", *outcome.Version, found.Nodes)
+		fmt.Fprintf(w, "version %d is in force on all %d nodes\n", *outcome.Version, convergence.Nodes)
 	})
 }
 
-// await waits until every node has the version and shows progress on a
-// terminal.
-func (c *Commander) await(ctx context.Context, r *requester.Requester, version uint64) (*fleet.ConvergenceResult, error) {
-	shown := false
-	found, err := r.Wait(ctx, version, func(found *fleet.ConvergenceResult) {
+// awaitVersion waits until every node has at least version. It shows progress if
+// the error stream is a terminal.
+func (c *Commander) awaitVersion(ctx context.Context, r *requester.Requester, version uint64) (*fleet.ConvergenceResult, error) {
+	progressShown := false
+	convergence, err := r.Wait(ctx, version, func(convergence *fleet.ConvergenceResult) {
 		if c.Terminal {
-			shown = true
+			progressShown = true
 			fmt.Fprintf(c.Err, "\rversion %d: %d of %d nodes, %d silent\x1b[K",
-				version, requester.NodesWithVersion(found, version), found.Nodes, found.Silent)
+				version, requester.NodesWithVersion(convergence, version), convergence.Nodes, convergence.Silent)
 		}
 	})
-	if shown {
+	if progressShown {
 		fmt.Fprintln(c.Err)
 	}
-	return found, err
+	return convergence, err
 }
 
 func (c *Commander) printOutcome(outcome *settings.Outcome) error {
@@ -182,9 +185,9 @@
 
 func (c *Commander) outcome(ctx context.Context, _ *cobra.Command, args []string) error {
 	if uuid.Validate(args[0]) != nil {
-		return usage(errors.Errorf("%q is not a UUID", args[0]))
+		return usageError(errors.Errorf("%q is not a UUID", args[0]))
 	}
-	r, err := c.requester()
+	r, err := c.newRequester()
 	if err != nil {
 		return err
 	}
@@ -197,5 +200,5 @@
 	if err := c.printOutcome(outcome); err != nil {
 		return err
 	}
-	return ended(outcome)
+	return outcomeError(outcome)
 }
--- a/ctl/commander/commander.go
+++ b/ctl/commander/commander.go
@@ -1,4 +1,4 @@
-// Package commander has the commands of srctl.
+// Package commander implements the commands of srctl.
 package commander
 
 import (
@@ -24,31 +24,32 @@
 	defaultTimeout = 30 * time.Second
 )
 
-// tokenFileBytes bounds a token file, which has one line.
-const tokenFileBytes = 4096
+// maxTokenFileBytes limits how much of a token file is read. A token file holds
+// a single line.
+const maxTokenFileBytes = 4096
 
-// Commander runs one command line.
+// Commander parses and runs one srctl command line.
 type Commander struct {
 	In       io.Reader
 	Out, Err io.Writer
-	// Terminal says that Err shows progress to a person.
+	// Terminal means that Err is a terminal, on which progress is shown.
 	Terminal bool
-	// Environment returns an environment variable.
-	Environment func(string) string
-	Now         func() time.Time
-	// Interval is the pause between queries of the same state; zero means the
-	// requester's.
-	Interval time.Duration
+	// Getenv returns the value of an environment variable, as os.Getenv does.
+	Getenv func(string) string
+	Now    func() time.Time
+	// PollInterval is the delay between repeated queries of the same state. Zero
+	// means the requester's default.
+	PollInterval time.Duration
 
 	servers                  []string
 	token, tokenFile, output string
 	timeout                  time.Duration
-	// started separates wrong usage, which is found before a command starts,
-	// from other errors.
+	// started is set when a command's body starts. Errors before that are usage
+	// errors.
 	started bool
 }
 
-// Groups of commands.
+// IDs of the command groups in the help text.
 const (
 	groupSettings = "settings"
 	groupReview   = "review"
@@ -56,7 +57,7 @@
 	groupLocal    = "local"
 )
 
-// Execute runs the command that args name and returns its exit code.
+// Execute runs the command line in args and returns the exit code.
 func (c *Commander) Execute(ctx context.Context, args []string) int {
 	root := c.Root()
 	root.SetArgs(args)
@@ -65,12 +66,12 @@
 	root.SetErr(c.Err)
 	err := root.ExecuteContext(ctx)
 	if err != nil && !c.started {
-		err = usage(err)
+		err = usageError(err)
 	}
 	return c.report(err)
 }
 
-// Root returns the tree of commands.
+// Root returns the root command with all of its subcommands.
 func (c *Commander) Root() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "srctl",
@@ -101,7 +102,7 @@
 	flags.StringVar(&c.tokenFile, "token-file", "", "`FILE` with the operator's token")
 	flags.StringVarP(&c.output, "output", "o", printer.Text, "output `FORMAT`: text or json")
 	flags.DurationVar(&c.timeout, "timeout", defaultTimeout, "bound on the whole command")
-	complete(root, "output", printer.Text, printer.JSON)
+	registerCompletion(root, "output", printer.Text, printer.JSON)
 	root.AddCommand(c.settingsCommands()...)
 	root.AddCommand(c.changeCommands()...)
 	root.AddCommand(c.reviewCommands()...)
@@ -110,18 +111,18 @@
 	return root
 }
 
-// complete offers fixed values for a flag.
-func complete(command *cobra.Command, flag string, values ...string) {
+// registerCompletion sets the values that shell completion offers for a flag.
+func registerCompletion(command *cobra.Command, flag string, values ...string) {
 	if err := command.RegisterFlagCompletionFunc(flag, cobra.FixedCompletions(values, cobra.ShellCompDirectiveNoFileComp)); err != nil {
 		panic(err)
 	}
 }
 
-// run adapts a command's body: it reads the environment, checks the global
-// flags and bounds the time.
-func (c *Commander) run(body func(ctx context.Context, command *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
+// runE adapts a command's body to cobra: it loads and checks the global flags and
+// limits the run time to --timeout.
+func (c *Commander) runE(body func(ctx context.Context, command *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(command *cobra.Command, args []string) error {
-		if err := c.load(command.Flags()); err != nil {
+		if err := c.loadGlobalFlags(command.Flags()); err != nil {
 			return err
 		}
 		c.started = true
@@ -131,13 +132,14 @@
 	}
 }
 
-// load sets the global flags that are absent from the environment and reads
-// the token file.
-func (c *Commander) load(flags *pflag.FlagSet) error {
-	given := flags.Changed("token") || flags.Changed("token-file")
+// loadGlobalFlags reads global flags that are not on the command line from the
+// environment, checks them and reads the token file. A token flag on the command
+// line overrides both token variables.
+func (c *Commander) loadGlobalFlags(flags *pflag.FlagSet) error {
+	tokenFlagGiven := flags.Changed("token") || flags.Changed("token-file")
 	for _, name := range []string{"server", "token", "token-file", "output", "timeout"} {
-		value := c.Environment("SYCAMORERUN_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_")))
-		if flag := flags.Lookup(name); flag.Changed || value == "" || (given && strings.HasPrefix(name, "token")) {
+		value := c.Getenv("SYCAMORERUN_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_")))
+		if flag := flags.Lookup(name); flag.Changed || value == "" || (tokenFlagGiven && strings.HasPrefix(name, "token")) {
 			continue
 		} else if err := flag.Value.Set(value); err != nil {
 			return errors.Errorf("environment variable of --%s: %s", name, err)
@@ -162,7 +164,7 @@
 			return errors.Wrap(err, "token file")
 		}
 		defer file.Close()
-		data, err := io.ReadAll(io.LimitReader(file, tokenFileBytes))
+		data, err := io.ReadAll(io.LimitReader(file, maxTokenFileBytes))
 		if err != nil {
 			return errors.Wrap(err, "token file")
 		}
@@ -170,24 +172,24 @@
 			return errors.New("the token file is empty")
 		}
 	}
-	// The message leaves the token out.
+	// The message must not contain the token.
 	if strings.ContainsFunc(c.token, func(r rune) bool { return r <= ' ' || r > '~' }) {
 		return errors.New("the token has characters other than visible ASCII")
 	}
 	return nil
 }
 
-// requester returns the client of the nodes. A silent node gets only a part
-// of the time, so that the others can still be asked.
-func (c *Commander) requester() (*requester.Requester, error) {
+// newRequester returns a client of the nodes. Each attempt gets only a share of
+// --timeout, so that a node that does not respond leaves time for the others.
+func (c *Commander) newRequester() (*requester.Requester, error) {
 	r, err := requester.New(c.servers)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	r.Token = c.token
 	r.AttemptTimeout = c.timeout / time.Duration(len(c.servers)+1)
-	if c.Interval > 0 {
-		r.PollInterval = c.Interval
+	if c.PollInterval > 0 {
+		r.PollInterval = c.PollInterval
 	}
 	return r, nil
 }
@@ -196,7 +198,7 @@
 	return printer.Printer{Out: c.Out, Format: c.output}.Print(value, text)
 }
 
-// readFile reads a settings file, or the standard input for "-".
+// readFile reads a settings file, or standard input when name is "-".
 func (c *Commander) readFile(name string) ([]byte, error) {
 	reader := c.In
 	if name != "-" {
@@ -207,21 +209,21 @@
 		defer file.Close()
 		reader = file
 	}
-	// One byte more lets the parser see that the text is too long.
+	// One byte beyond the limit lets the parser detect that the text is too long.
 	text, err := io.ReadAll(io.LimitReader(reader, parser.TextBytes+1))
 	return text, errors.Wrap(err, "settings file")
 }
 
-// team checks an argument that names a team.
-func team(name string) (string, error) {
+// parseTeam validates an argument that names a team.
+func parseTeam(name string) (string, error) {
 	if !parser.ValidName(name) {
-		return "", usage(errors.Errorf("team %q is not 1 to 63 characters of a-z0-9-", name))
+		return "", usageError(errors.Errorf("team %q is not 1 to 63 characters of a-z0-9-", name))
 	}
 	return name, nil
 }
 
-// parent is a command that only has subcommands.
-func parent(use, short, group string, children ...*cobra.Command) *cobra.Command {
+// newParentCommand returns a command that only groups subcommands.
+func newParentCommand(use, short, group string, children ...*cobra.Command) *cobra.Command {
 	command := &cobra.Command{
 		Use: use, Short: short, GroupID: group, Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
--- a/ctl/commander/commander_test.go
+++ b/ctl/commander/commander_test.go
@@ -27,9 +27,10 @@
 	proposal     = "6f1c3f2e-4f5b-4a53-9a59-3c1d9f2f7a10"
 )
 
-// TestExitCodes guards the exit code and the output of every command.
+// TestExitCodes guards against commands with a wrong exit code or without the
+// expected output.
 func TestExitCodes(t *testing.T) {
-	status := func(status string) *fake {
+	withStatus := func(status string) *fake {
 		return &fake{submit: func(payload *settings.SubmitPayload) (*settings.Outcome, error) {
 			return &settings.Outcome{ID: payload.ID, Status: status, Faults: []*settings.Fault{{Code: "c", Path: "p", Reason: "r"}}}, nil
 		}}
@@ -40,8 +41,8 @@
 			outcome: func(string) (*settings.Outcome, error) { return nil, problem(name) },
 		}
 	}
-	broken := failing("other")
-	broken.outcome = nil
+	submitFails := failing("other")
+	submitFails.outcome = nil
 	for name, test := range map[string]struct {
 		fake *fake
 		args string
@@ -50,11 +51,11 @@
 	}{
 		"apply":            {&fake{}, "apply -", 0, "slots: 5 -> 6"},
 		"apply and wait":   {&fake{}, "apply - --wait", 0, "in force on all 2 nodes"},
-		"refused":          {status("refused"), "apply -", 3, "p: r (c)"},
-		"conflict":         {status("conflict"), "apply -", 4, "conflict"},
-		"pending":          {status("pending"), "apply -", 5, "pending"},
+		"refused":          {withStatus("refused"), "apply -", 3, "p: r (c)"},
+		"conflict":         {withStatus("conflict"), "apply -", 4, "conflict"},
+		"pending":          {withStatus("pending"), "apply -", 5, "pending"},
 		"server error":     {failing("other"), "apply -", 6, "srctl outcome"},
-		"error resolved":   {broken, "apply -", 0, "accepted, version 8"},
+		"error resolved":   {submitFails, "apply -", 0, "accepted, version 8"},
 		"unavailable":      {failing("unavailable"), "apply - --timeout 500ms", 6, "srctl outcome"},
 		"forbidden":        {failing("forbidden"), "apply -", 9, "code-of-forbidden"},
 		"invalid":          {failing("invalid"), "apply -", 3, "code-of-invalid"},
@@ -100,14 +101,14 @@
 			got := execute(t, map[string]string{"SYCAMORERUN_SERVER": test.fake.serve(t)}, strings.Fields(test.args)...)
 			is.Equal(got.code, test.code)
 			if !strings.Contains(got.out+got.err, test.text) {
-				t.Errorf("no %q in %q and %q", test.text, got.out, got.err)
+				t.Errorf("output lacks %q: stdout %q, stderr %q", test.text, got.out, got.err)
 			}
 		})
 	}
 }
 
-// TestPayloads guards what the commands send, above all the version and the
-// content that a decision was made from.
+// TestPayloads guards against commands that send a wrong payload, above all a
+// base version or content hash other than the one that the operator decided on.
 func TestPayloads(t *testing.T) {
 	is := is.New(t)
 	f := &fake{}
@@ -136,18 +137,19 @@
 	}
 	before := len(f.submitted)
 	is.Equal(execute(t, environment, "apply", "-").code, 0)
-	is.Equal(len(f.submitted), before) // an equal file submits nothing
+	is.Equal(len(f.submitted), before) // a file without differences submits nothing
 }
 
-// hijack closes the caller's connection without an answer.
-func hijack(w http.ResponseWriter) {
+// dropConnection closes the client's connection without a response.
+func dropConnection(w http.ResponseWriter) {
 	if connection, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		connection.Close()
 	}
 }
 
-// TestLostAnswer guards against a second change after an answer is lost: the
-// outcome is queried, and a node that does not know the id gets the same id.
+// TestLostAnswer guards against making a change twice when the response to its
+// submission is lost: srctl must query the outcome first, and submit the change
+// again only when the node does not know its id, under the same id.
 func TestLostAnswer(t *testing.T) {
 	for name, test := range map[string]struct {
 		known     bool
@@ -165,11 +167,11 @@
 				}
 				return &settings.Outcome{ID: id, Status: "accepted", Version: pointer(uint64(8))}, nil
 			}
-			var lost atomic.Bool
-			f.before = func(w http.ResponseWriter, r *http.Request) bool {
-				if r.Method == http.MethodPost && r.URL.Path == "/v1/changes" && lost.CompareAndSwap(false, true) {
+			var dropped atomic.Bool
+			f.intercept = func(w http.ResponseWriter, r *http.Request) bool {
+				if r.Method == http.MethodPost && r.URL.Path == "/v1/changes" && dropped.CompareAndSwap(false, true) {
 					f.submitted = append(f.submitted, &settings.SubmitPayload{})
-					hijack(w)
+					dropConnection(w)
 					return false
 				}
 				return true
@@ -186,8 +188,8 @@
 	}
 }
 
-// TestUnknown guards that a change whose outcome stays unknown is not
-// reported as failed, and that the message names its id.
+// TestUnknown guards against reporting a change as failed when its outcome stays
+// unknown, and against an error message without the change's id.
 func TestUnknown(t *testing.T) {
 	is := is.New(t)
 	f := &fake{}
@@ -198,7 +200,7 @@
 	f.outcome = unknown
 	environment := map[string]string{"SYCAMORERUN_SERVER": f.serve(t)}
 	got := execute(t, environment, "apply", "-", "--timeout", "500ms")
-	is.Equal(got.code, commander.ExitUnknown)
+	is.Equal(got.code, commander.ExitOutcomeUnknown)
 	is.Equal(len(f.submitted), 1)
 	is.True(strings.Contains(got.err, "srctl outcome "+f.submitted[0].ID))
 	got = execute(t, environment, "apply", "-", "--timeout", "500ms", "--output", "json")
@@ -207,8 +209,9 @@
 	is.Equal(message["id"], f.submitted[1].ID)
 }
 
-// TestFallback guards that the next node gets the same change when one
-// refuses connections or accepts them and stays silent.
+// TestFallback guards against a failover that does not happen, or that makes a
+// second change, when a node refuses connections or accepts them and does not
+// respond: the next node must get the same change.
 func TestFallback(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -217,15 +220,15 @@
 	listener.Close()
 
 	silent := &fake{}
-	release := make(chan struct{})
-	silent.before = func(_ http.ResponseWriter, r *http.Request) bool {
+	unblock := make(chan struct{})
+	silent.intercept = func(_ http.ResponseWriter, r *http.Request) bool {
 		if r.Method == http.MethodPost && r.URL.Path == "/v1/changes" {
-			<-release
+			<-unblock
 		}
 		return true
 	}
 	address := silent.serve(t)
-	t.Cleanup(func() { close(release) })
+	t.Cleanup(func() { close(unblock) })
 	second := &fake{outcome: func(string) (*settings.Outcome, error) { return nil, problem("missing") }}
 	got := execute(t, nil, "apply", "-", "--server", closed, "--server", address, "--server", second.serve(t), "--timeout", "2s")
 	is.Equal(got.code, commander.ExitOK)
@@ -236,49 +239,50 @@
 	is.Equal(execute(t, nil, "convergence", "--wait", "3", "--server", closed, "--timeout", "50ms").code, commander.ExitUnreachable)
 }
 
-// TestToken guards the sources of the token and that errors don't show it.
+// TestToken guards against a wrong precedence of the token's sources and against
+// errors that contain the token.
 func TestToken(t *testing.T) {
 	is := is.New(t)
 	environment := map[string]string{"SYCAMORERUN_SERVER": (&fake{}).serve(t), "SYCAMORERUN_TOKEN": ""}
 	is.Equal(execute(t, environment, "status").code, commander.ExitUnauthorized)
 	is.Equal(execute(t, environment, "status", "--token", "wrong").code, commander.ExitUnauthorized)
-	is.Equal(execute(t, environment, "status", "--token", secret).code, 0)
-	is.Equal(execute(t, environment, "status", "--token", secret+" x").code, commander.ExitUsage)
+	is.Equal(execute(t, environment, "status", "--token", operatorToken).code, 0)
+	is.Equal(execute(t, environment, "status", "--token", operatorToken+" x").code, commander.ExitUsage)
 	file := filepath.Join(t.TempDir(), "token")
-	is.NoErr(os.WriteFile(file, []byte(secret+"\n"), 0o600))
+	is.NoErr(os.WriteFile(file, []byte(operatorToken+"\n"), 0o600))
 	is.Equal(execute(t, environment, "status", "--token-file", file).code, 0)
-	is.Equal(execute(t, environment, "status", "--token-file", file, "--token", secret).code, commander.ExitUsage)
+	is.Equal(execute(t, environment, "status", "--token-file", file, "--token", operatorToken).code, commander.ExitUsage)
 	environment["SYCAMORERUN_TOKEN"] = "wrong"
-	is.Equal(execute(t, environment, "status", "--token-file", file).code, 0) // a flag precedes the environment
+	is.Equal(execute(t, environment, "status", "--token-file", file).code, 0) // a flag overrides the environment
 	is.Equal(execute(t, environment, "status", "--help").code, 0)
 }
 
-// TestWait guards that --wait counts silent and lagging nodes and shows
-// progress only on a terminal.
+// TestWait guards against --wait ending while a node is silent or has an older
+// version, and against progress output when stderr is not a terminal.
 func TestWait(t *testing.T) {
 	is := is.New(t)
 	f := &fake{}
-	answers := []*fleet.ConvergenceResult{
+	results := []*fleet.ConvergenceResult{
 		{Newest: 8, Nodes: 2, Tallies: []*fleet.Tally{{Version: 7, Nodes: 1}, {Version: 8, Nodes: 1}}},
 		{Newest: 8, Nodes: 1, Silent: 1, Tallies: []*fleet.Tally{{Version: 8, Nodes: 1}}},
-		converged(9),
+		convergedAt(9),
 	}
-	next := 0
+	queries := 0
 	f.convergence = func() *fleet.ConvergenceResult {
-		next++
-		return answers[min(next, len(answers))-1]
+		queries++
+		return results[min(queries, len(results))-1]
 	}
 	environment := map[string]string{"SYCAMORERUN_SERVER": f.serve(t), "terminal": "yes"}
 	got := execute(t, environment, "apply", "-", "--wait")
 	is.Equal(got.code, 0)
-	is.Equal(next, 3)
+	is.Equal(queries, 3)
 	is.True(strings.Contains(got.err, "\rversion 8: 1 of 1 nodes, 1 silent"))
 	delete(environment, "terminal")
 	is.Equal(execute(t, environment, "apply", "-", "--wait").err, "")
 }
 
-// TestValidate guards the offline checks, with the place of each fault, and
-// the check at a node.
+// TestValidate guards against offline checks that miss a fault or report it
+// without its location, and against skipping the check at a node.
 func TestValidate(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -314,13 +318,13 @@
 			got := execute(t, nil, append([]string{"validate"}, test.args...)...)
 			is.Equal(got.code, test.code)
 			if !strings.Contains(got.out, test.text) {
-				t.Errorf("no %q in %q", test.text, got.out)
+				t.Errorf("output lacks %q: stdout %q", test.text, got.out)
 			}
 		})
 	}
 }
 
-// TestGet guards that a printed file can be applied again.
+// TestGet guards against printing a settings file that can't be applied again.
 func TestGet(t *testing.T) {
 	is := is.New(t)
 	got := execute(t, map[string]string{"SYCAMORERUN_SERVER": (&fake{}).serve(t)}, "get", "quoting")
@@ -329,7 +333,8 @@
 	is.Equal(string(subtree.Items["quoting/service/quote-desk"]), serviceItem)
 }
 
-// TestSilentServer guards the bound on the whole command.
+// TestSilentServer guards against a command that exceeds --timeout when a server
+// accepts the connection and does not respond.
 func TestSilentServer(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -340,8 +345,8 @@
 	is.True(time.Since(start) < 5*time.Second)
 }
 
-// TestPage guards docs/srctl.md against a drift from the commands, their flags
-// and the exit codes, and that each command has help and an example.
+// TestPage guards against docs/srctl.md lacking a command, with its usage and its
+// summary, or an exit code, and against a command without an example.
 func TestPage(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("../../docs/srctl.md")
--- a/ctl/commander/exit.go
+++ b/ctl/commander/exit.go
@@ -13,86 +13,88 @@
 
 // Exit codes of srctl.
 const (
-	ExitOK           = 0
-	ExitOther        = 1
-	ExitUsage        = 2
-	ExitRefused      = 3
-	ExitConflict     = 4
-	ExitPending      = 5
-	ExitUnknown      = 6
-	ExitUnreachable  = 7
-	ExitLate         = 8
-	ExitUnauthorized = 9
+	ExitOK             = 0
+	ExitOther          = 1
+	ExitUsage          = 2
+	ExitRefused        = 3
+	ExitConflict       = 4
+	ExitPending        = 5
+	ExitOutcomeUnknown = 6
+	ExitUnreachable    = 7
+	ExitNotConverged   = 8
+	ExitUnauthorized   = 9
 )
 
-var exitsByKind = map[requester.Kind]int{
+var exitCodeByKind = map[requester.Kind]int{
 	requester.Unreachable:    ExitUnreachable,
 	requester.Unauthorized:   ExitUnauthorized,
 	requester.Invalid:        ExitRefused,
-	requester.OutcomeUnknown: ExitUnknown,
-	requester.NotConverged:   ExitLate,
+	requester.OutcomeUnknown: ExitOutcomeUnknown,
+	requester.NotConverged:   ExitNotConverged,
 }
 
-var exitsByStatus = map[sycamorerun.Status]int{
+var exitCodeByStatus = map[sycamorerun.Status]int{
 	sycamorerun.StatusAccepted: ExitOK,
 	sycamorerun.StatusPending:  ExitPending,
 	sycamorerun.StatusRefused:  ExitRefused,
 	sycamorerun.StatusConflict: ExitConflict,
-	sycamorerun.StatusUnknown:  ExitUnknown,
+	sycamorerun.StatusUnknown:  ExitOutcomeUnknown,
 }
 
-// exit ends the program with a code. Without a cause, the output says already
-// what happened.
-type exit struct {
+// exitError ends the program with an exit code. It has no cause when the output
+// already reports the result.
+type exitError struct {
 	code  int
 	cause error
 }
 
-func (e *exit) Error() string {
+func (e *exitError) Error() string {
 	if e.cause == nil {
 		return fmt.Sprintf("exit code %d", e.code)
 	}
 	return e.cause.Error()
 }
 
-func (e *exit) Unwrap() error { return e.cause }
+func (e *exitError) Unwrap() error { return e.cause }
 
-func usage(err error) error { return &exit{ExitUsage, err} }
+func usageError(err error) error { return &exitError{ExitUsage, err} }
 
-// ended returns the exit of a change's outcome.
-func ended(outcome *settings.Outcome) error {
-	code, ok := exitsByStatus[sycamorerun.Status(outcome.Status)]
+// outcomeError returns an exitError for a change's outcome, or nil when the change
+// was accepted.
+func outcomeError(outcome *settings.Outcome) error {
+	code, ok := exitCodeByStatus[sycamorerun.Status(outcome.Status)]
 	if !ok {
 		code = ExitOther
 	}
 	if code == ExitOK {
 		return nil
 	}
-	return &exit{code: code}
+	return &exitError{code: code}
 }
 
-// report writes the error and returns its exit code.
+// report writes err, unless the output already reports the result, and returns
+// the exit code.
 func (c *Commander) report(err error) int {
 	if err == nil {
 		return ExitOK
 	}
 	code := ExitOther
 	failure := requester.AsFailure(err)
-	if failure != nil && exitsByKind[failure.Kind] != 0 {
-		code = exitsByKind[failure.Kind]
+	if failure != nil && exitCodeByKind[failure.Kind] != 0 {
+		code = exitCodeByKind[failure.Kind]
 	}
-	var end *exit
-	if errors.As(err, &end) {
-		if code = end.code; end.cause == nil {
+	var exitErr *exitError
+	if errors.As(err, &exitErr) {
+		if code = exitErr.code; exitErr.cause == nil {
 			return code
 		}
 	}
-	c.describe(code, err, failure)
+	c.writeError(code, err, failure)
 	return code
 }
 
-// describe writes the error to the error stream.
-func (c *Commander) describe(code int, err error, failure *requester.Failure) {
+// writeError writes err to the error stream in the output format.
+func (c *Commander) writeError(code int, err error, failure *requester.Failure) {
 	if c.output == printer.JSON {
 		body := map[string]any{"exit": code, "reason": err.Error()}
 		if failure != nil {
--- a/ctl/commander/fake_test.go
+++ b/ctl/commander/fake_test.go
@@ -20,14 +20,15 @@
 	"sycamorerun/ctl/commander"
 )
 
-// secret is the operator's token; no output may contain it.
-const secret = "0123456789abcdef0123456789abcdef"
+// operatorToken is the token that fake accepts. No output may contain it.
+const operatorToken = "0123456789abcdef0123456789abcdef"
 
-// fake implements both services of the operators' API. Its fields replace the
-// default answers.
+// fake implements both services of the operators' API. Its function fields
+// override the default responses.
 type fake struct {
 	mutex sync.Mutex
-	// submitted and queried record the requests.
+	// submitted and queried record the submitted changes and the ids whose outcome
+	// was queried.
 	submitted []*settings.SubmitPayload
 	queried   []string
 
@@ -36,21 +37,22 @@
 	check       func(*settings.CheckPayload) (*settings.CheckResult, error)
 	convergence func() *fleet.ConvergenceResult
 	explained   *fleet.ExplainPayload
-	// before runs before each request and returns false to handle it itself.
-	before func(http.ResponseWriter, *http.Request) bool
+	// intercept runs before each request. It returns false when it has handled the
+	// request itself.
+	intercept func(http.ResponseWriter, *http.Request) bool
 }
 
 func pointer[T any](value T) *T { return &value }
 
 func (f *fake) APIKeyAuth(ctx context.Context, key string, _ *security.APIKeyScheme) (context.Context, error) {
-	if key != secret {
+	if key != operatorToken {
 		return nil, problem("unauthorized")
 	}
 	return ctx, nil
 }
 
-// fleetFake answers with the problems of the fleet service: the generated
-// server dereferences a nil pointer when it meets those of another service.
+// fleetFake returns errors of the fleet service: the generated server
+// dereferences a nil pointer when it gets an error of another service.
 type fleetFake struct{ *fake }
 
 func (f fleetFake) APIKeyAuth(ctx context.Context, key string, scheme *security.APIKeyScheme) (context.Context, error) {
@@ -122,28 +124,28 @@
 	return []*fleet.Member{{Name: "node-1", Zone: "a", Region: "north", Address: "127.0.0.1:1", State: "ready"}}, nil
 }
 
-var partial = &fleet.RouteState{Route: "quoting/route/quotes", State: "partial", Targets: []*fleet.Target{
+var partialRoute = &fleet.RouteState{Route: "quoting/route/quotes", State: "partial", Targets: []*fleet.Target{
 	{Service: "quote-desk", Share: 0.75, Upstreams: 3}, {Service: "gone", Share: 0.25},
 }}
 
 func (f *fake) Routes(context.Context, *fleet.RoutesPayload) ([]*fleet.RouteState, error) {
-	return []*fleet.RouteState{partial, {Route: "quoting/route/fine", State: "served", Targets: []*fleet.Target{}}}, nil
+	return []*fleet.RouteState{partialRoute, {Route: "quoting/route/fine", State: "served", Targets: []*fleet.Target{}}}, nil
 }
 
 func (f *fake) Convergence(context.Context, *fleet.ConvergencePayload) (*fleet.ConvergenceResult, error) {
 	if f.convergence != nil {
 		return f.convergence(), nil
 	}
-	return converged(8), nil
+	return convergedAt(8), nil
 }
 
-func converged(version uint64) *fleet.ConvergenceResult {
+func convergedAt(version uint64) *fleet.ConvergenceResult {
 	return &fleet.ConvergenceResult{Newest: version, Nodes: 2, Tallies: []*fleet.Tally{{Version: version, Nodes: 2}}}
 }
 
 func (f *fake) Explain(_ context.Context, payload *fleet.ExplainPayload) (*fleet.ExplainResult, error) {
 	f.explained = payload
-	return &fleet.ExplainResult{Version: 7, Route: "quoting/route/quotes", Steps: []string{"host equal"}, State: partial}, nil
+	return &fleet.ExplainResult{Version: 7, Route: "quoting/route/quotes", Steps: []string{"host equal"}, State: partialRoute}, nil
 }
 
 // serve starts the generated server and returns its address.
@@ -153,7 +155,7 @@
 	settingsserver.New(settings.NewEndpoints(f), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, nil).Mount(mux)
 	fleetserver.New(fleet.NewEndpoints(fleetFake{f}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, nil).Mount(mux)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if f.before == nil || f.before(w, r) {
+		if f.intercept == nil || f.intercept(w, r) {
 			mux.ServeHTTP(w, r)
 		}
 	}))
@@ -161,13 +163,13 @@
 	return server.URL
 }
 
-// result is what a command left.
+// result is the exit code and the output of a command.
 type result struct {
 	code     int
 	out, err string
 }
 
-var clock = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+var fixedNow = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 // execute runs a command with the token in the environment and checks that
 // the token is in no output.
@@ -176,17 +178,17 @@
 	var out, errs bytes.Buffer
 	c := &commander.Commander{
 		In: strings.NewReader(settingsFile), Out: &out, Err: &errs, Terminal: environment["terminal"] != "",
-		Environment: func(name string) string {
+		Getenv: func(name string) string {
 			if value, ok := environment[name]; ok || name != "SYCAMORERUN_TOKEN" {
 				return value
 			}
-			return secret
+			return operatorToken
 		},
-		Now:      func() time.Time { return clock },
-		Interval: time.Millisecond,
+		Now:          func() time.Time { return fixedNow },
+		PollInterval: time.Millisecond,
 	}
 	code := c.Execute(context.Background(), args)
-	if strings.Contains(out.String()+errs.String(), secret) {
+	if strings.Contains(out.String()+errs.String(), operatorToken) {
 		t.Errorf("srctl %v printed the token", args)
 	}
 	return result{code, out.String(), errs.String()}
--- a/ctl/commander/fleet.go
+++ b/ctl/commander/fleet.go
@@ -24,7 +24,7 @@
 		Use: "history [TEAM]", Short: "List the newest accepted changes", GroupID: groupSettings,
 		Example: "  srctl history\n  srctl history quoting --limit 5",
 		Args:    cobra.MaximumNArgs(1),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			return c.history(ctx, args, limit)
 		}),
 	}
@@ -32,19 +32,19 @@
 	status := &cobra.Command{
 		Use: "status", Short: "Show the state of the node", GroupID: groupFleet,
 		Example: "  srctl status --server 10.0.0.1:7070",
-		Args:    cobra.NoArgs, RunE: c.run(c.status),
+		Args:    cobra.NoArgs, RunE: c.runE(c.status),
 	}
 	members := &cobra.Command{
 		Use: "members", Short: "List the instances that the node knows", GroupID: groupFleet,
 		Example: "  srctl members\n  srctl members --output json",
-		Args:    cobra.NoArgs, RunE: c.run(c.members),
+		Args:    cobra.NoArgs, RunE: c.runE(c.members),
 	}
 	var unserved bool
 	routes := &cobra.Command{
 		Use: "routes [TEAM]", Short: "List the routes and whether their services have upstreams", GroupID: groupFleet,
 		Example: "  srctl routes quoting\n  srctl routes --unserved",
 		Args:    cobra.MaximumNArgs(1),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			return c.routes(ctx, args, unserved)
 		}),
 	}
@@ -54,7 +54,7 @@
 		Use: "convergence", Short: "Show which versions are in force in the fleet", GroupID: groupFleet,
 		Example: "  srctl convergence\n  srctl convergence --wait 42 --timeout 10s",
 		Args:    cobra.NoArgs,
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, _ []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, _ []string) error {
 			return c.convergence(ctx, version)
 		}),
 	}
@@ -64,7 +64,7 @@
 		Use: "explain METHOD URL", Short: "Show which route and upstream a request would take", GroupID: groupFleet,
 		Example: "  srctl explain GET http://quotes.example/quotes/7 -H 'x-channel: agent'",
 		Args:    cobra.ExactArgs(2),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			return c.explain(ctx, args[0], args[1], headers)
 		}),
 	}
@@ -72,34 +72,34 @@
 	return []*cobra.Command{history, status, members, routes, convergence, explain}
 }
 
-// show reads from a node and prints the answer.
-func show[T any](ctx context.Context, c *Commander, read func(context.Context, *requester.Node, *string) (T, error), text func(io.Writer, T)) error {
-	r, err := c.requester()
+// readAndPrint reads from a node and prints the result.
+func readAndPrint[T any](ctx context.Context, c *Commander, read func(context.Context, *requester.Node, *string) (T, error), text func(io.Writer, T)) error {
+	r, err := c.newRequester()
 	if err != nil {
 		return err
 	}
-	answer, err := requester.Read(ctx, r, func(ctx context.Context, node *requester.Node) (T, error) {
+	result, err := requester.Read(ctx, r, func(ctx context.Context, node *requester.Node) (T, error) {
 		return read(ctx, node, r.Authorization())
 	})
 	if err != nil {
 		return err
 	}
-	return c.print(answer, func(w io.Writer) { text(w, answer) })
+	return c.print(result, func(w io.Writer) { text(w, result) })
 }
 
 func (c *Commander) history(ctx context.Context, args []string, limit int) error {
 	if limit < 1 || limit > 1024 {
-		return usage(errors.Errorf("--limit %d is outside 1..1024", limit))
+		return usageError(errors.Errorf("--limit %d is outside 1..1024", limit))
 	}
 	payload := &settings.HistoryPayload{Limit: limit}
 	if len(args) > 0 {
-		name, err := team(args[0])
+		name, err := parseTeam(args[0])
 		if err != nil {
 			return err
 		}
 		payload.Team = &name
 	}
-	return show(ctx, c, func(ctx context.Context, node *requester.Node, token *string) ([]*settings.Accepted, error) {
+	return readAndPrint(ctx, c, func(ctx context.Context, node *requester.Node, token *string) ([]*settings.Accepted, error) {
 		payload.Token = token
 		return node.Settings.History(ctx, payload)
 	}, func(w io.Writer, changes []*settings.Accepted) {
@@ -112,7 +112,7 @@
 }
 
 func (c *Commander) status(ctx context.Context, _ *cobra.Command, _ []string) error {
-	return show(ctx, c, func(ctx context.Context, node *requester.Node, token *string) (*fleet.StatusResult, error) {
+	return readAndPrint(ctx, c, func(ctx context.Context, node *requester.Node, token *string) (*fleet.StatusResult, error) {
 		return node.Fleet.Status(ctx, &fleet.StatusPayload{Token: token})
 	}, func(w io.Writer, status *fleet.StatusResult) {
 		printer.Table(w, "FIELD VALUE", [][]any{
@@ -126,15 +126,15 @@
 			{"members", status.Members},
 			{"watching", status.Watching},
 			{"refused", status.Refused},
-			{"fault", optional(status.Fault)},
-			{"unserved", number(status.Unserved)},
-			{"partial", number(status.Partial)},
+			{"fault", optionalString(status.Fault)},
+			{"unserved", optionalInt(status.Unserved)},
+			{"partial", optionalInt(status.Partial)},
 		})
 	})
 }
 
 func (c *Commander) members(ctx context.Context, _ *cobra.Command, _ []string) error {
-	return show(ctx, c, func(ctx context.Context, node *requester.Node, token *string) ([]*fleet.Member, error) {
+	return readAndPrint(ctx, c, func(ctx context.Context, node *requester.Node, token *string) ([]*fleet.Member, error) {
 		return node.Fleet.Members(ctx, &fleet.MembersPayload{Token: token})
 	}, func(w io.Writer, members []*fleet.Member) {
 		var rows [][]any
@@ -150,30 +150,30 @@
 func (c *Commander) routes(ctx context.Context, args []string, unserved bool) error {
 	payload := &fleet.RoutesPayload{}
 	if len(args) > 0 {
-		name, err := team(args[0])
+		name, err := parseTeam(args[0])
 		if err != nil {
 			return err
 		}
 		payload.Team = &name
 	}
-	return show(ctx, c, func(ctx context.Context, node *requester.Node, token *string) ([]*fleet.RouteState, error) {
+	return readAndPrint(ctx, c, func(ctx context.Context, node *requester.Node, token *string) ([]*fleet.RouteState, error) {
 		payload.Token = token
 		routes, err := node.Fleet.Routes(ctx, payload)
-		return slices.DeleteFunc(routes, func(route *fleet.RouteState) bool { return unserved && route.State == served }), err
+		return slices.DeleteFunc(routes, func(route *fleet.RouteState) bool { return unserved && route.State == stateServed }), err
 	}, func(w io.Writer, routes []*fleet.RouteState) {
 		var rows [][]any
 		for _, route := range routes {
-			rows = append(rows, []any{route.Route, route.State, optional(route.Since), targets(route)})
+			rows = append(rows, []any{route.Route, route.State, optionalString(route.Since), formatTargets(route)})
 		}
 		printer.Table(w, "ROUTE STATE SINCE UPSTREAMS", rows)
 	})
 }
 
-// served is the state of a route whose services all have upstreams.
-const served = "served"
+// stateServed is the state of a route if all of its services have upstreams.
+const stateServed = "served"
 
-// targets lists the services of a route with their numbers of upstreams.
-func targets(route *fleet.RouteState) string {
+// formatTargets returns the services of a route, each with its number of upstreams.
+func formatTargets(route *fleet.RouteState) string {
 	var texts []string
 	for _, target := range route.Targets {
 		texts = append(texts, fmt.Sprintf("%s: %d", target.Service, target.Upstreams))
@@ -182,34 +182,34 @@
 }
 
 func (c *Commander) convergence(ctx context.Context, version uint64) error {
-	r, err := c.requester()
+	r, err := c.newRequester()
 	if err != nil {
 		return err
 	}
-	var found *fleet.ConvergenceResult
-	var failed error
+	var result *fleet.ConvergenceResult
+	var readErr error
 	if version > 0 {
-		found, failed = c.await(ctx, r, version)
+		result, readErr = c.awaitVersion(ctx, r, version)
 	} else {
-		found, failed = r.Convergence(ctx)
+		result, readErr = r.Convergence(ctx)
 	}
-	if found == nil {
-		return failed
+	if result == nil {
+		return readErr
 	}
-	if err := c.print(found, func(w io.Writer) { converged(w, found) }); err != nil {
+	if err := c.print(result, func(w io.Writer) { writeConvergence(w, result) }); err != nil {
 		return err
 	}
-	return failed
+	return readErr
 }
 
-func converged(w io.Writer, found *fleet.ConvergenceResult) {
-	fmt.Fprintf(w, "newest version %d; %d nodes answered, %d silent\n", found.Newest, found.Nodes, found.Silent)
+func writeConvergence(w io.Writer, result *fleet.ConvergenceResult) {
+	fmt.Fprintf(w, "newest version %d; %d nodes answered, %d silent\n", result.Newest, result.Nodes, result.Silent)
 	var tallies, laggards [][]any
-	for _, tally := range found.Tallies {
+	for _, tally := range result.Tallies {
 		tallies = append(tallies, []any{tally.Version, tally.Nodes})
 	}
-	for _, laggard := range found.Laggards {
-		laggards = append(laggards, []any{laggard.Name, laggard.Version, laggard.Since, optional(laggard.Fault)})
+	for _, laggard := range result.Laggards {
+		laggards = append(laggards, []any{laggard.Name, laggard.Version, laggard.Since, optionalString(laggard.Fault)})
 	}
 	printer.Table(w, "VERSION NODES", tallies)
 	if len(laggards) > 0 {
@@ -217,13 +217,13 @@
 	}
 }
 
-func (c *Commander) explain(ctx context.Context, method, address string, headers []string) error {
-	request, err := url.Parse(address)
-	if err != nil || request.Host == "" {
-		return usage(errors.Errorf("%q is not a URL with a host", address))
+func (c *Commander) explain(ctx context.Context, method, rawURL string, headers []string) error {
+	requestURL, err := url.Parse(rawURL)
+	if err != nil || requestURL.Host == "" {
+		return usageError(errors.Errorf("%q is not a URL with a host", rawURL))
 	}
 	payload := &fleet.ExplainPayload{
-		Method: strings.ToUpper(method), Host: strings.ToLower(request.Hostname()), Path: request.Path, Headers: map[string]string{},
+		Method: strings.ToUpper(method), Host: strings.ToLower(requestURL.Hostname()), Path: requestURL.Path, Headers: map[string]string{},
 	}
 	if payload.Path == "" {
 		payload.Path = "/"
@@ -231,17 +231,17 @@
 	for _, header := range headers {
 		name, value, ok := strings.Cut(header, ":")
 		if name = strings.ToLower(strings.TrimSpace(name)); !ok || name == "" {
-			return usage(errors.Errorf("header %q is not NAME: VALUE", header))
+			return usageError(errors.Errorf("header %q is not NAME: VALUE", header))
 		}
 		payload.Headers[name] = strings.TrimSpace(value)
 	}
-	return show(ctx, c, func(ctx context.Context, node *requester.Node, token *string) (*fleet.ExplainResult, error) {
+	return readAndPrint(ctx, c, func(ctx context.Context, node *requester.Node, token *string) (*fleet.ExplainResult, error) {
 		payload.Token = token
 		return node.Fleet.Explain(ctx, payload)
-	}, explained)
+	}, writeExplanation)
 }
 
-func explained(w io.Writer, result *fleet.ExplainResult) {
+func writeExplanation(w io.Writer, result *fleet.ExplainResult) {
 	route := result.Route
 	if route == "" {
 		route = "no route matches"
@@ -254,7 +254,7 @@
 		fmt.Fprintf(w, "may be repeated: %t\n", *result.Repeatable)
 	}
 	if result.State != nil {
-		fmt.Fprintf(w, "%s (upstreams of %s)\n", result.State.State, targets(result.State))
+		fmt.Fprintf(w, "%s (upstreams of %s)\n", result.State.State, formatTargets(result.State))
 		for _, target := range result.State.Targets {
 			if target.Upstreams == 0 {
 				fmt.Fprintf(w, "%.1f%% of the calls are for %s and end not run, no-upstream\n", 100*target.Share, target.Service)
@@ -275,15 +275,15 @@
 	}
 }
 
-// number prints a number that older nodes don't tell.
-func number(value *int) string {
+// optionalInt formats a number that older nodes do not report.
+func optionalInt(value *int) string {
 	if value == nil {
 		return ""
 	}
 	return strconv.Itoa(*value)
 }
 
-func optional(text *string) string {
+func optionalString(text *string) string {
 	if text == nil {
 		return ""
 	}
--- a/ctl/commander/local.go
+++ b/ctl/commander/local.go
@@ -24,7 +24,7 @@
 file or, for the first administrator, into the nodes' setting --admin-hash.`,
 		Example: "  srctl token new",
 		Args:    cobra.NoArgs,
-		RunE: c.run(func(context.Context, *cobra.Command, []string) error {
+		RunE: c.runE(func(context.Context, *cobra.Command, []string) error {
 			token, hash := issuer.Token()
 			return c.print(map[string]string{"token": token, "hash": hash}, func(w io.Writer) {
 				fmt.Fprintf(w, "token %s\nhash  %s\n", token, hash)
@@ -42,9 +42,9 @@
 key is not kept. Existing files are not replaced.`,
 		Example: "  srctl keys new demo-keys",
 		Args:    cobra.ExactArgs(1),
-		RunE: c.run(func(_ context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(_ context.Context, _ *cobra.Command, args []string) error {
 			if days < 1 || days > 3650 {
-				return usage(errors.Errorf("--days %d is outside 1..3650", days))
+				return usageError(errors.Errorf("--days %d is outside 1..3650", days))
 			}
 			request := issuer.Request{Names: names, Addresses: addresses, Lifetime: time.Duration(days) * day}
 			if err := issuer.Keys(c.Now(), args[0], request); err != nil {
@@ -59,7 +59,7 @@
 	newKeys.Flags().IPSliceVar(&addresses, "address", []net.IP{net.IPv4(127, 0, 0, 1), net.IPv6loopback}, "`IP` address in the certificate; repeatable")
 	newKeys.Flags().IntVar(&days, "days", 365, "lifetime in days, 1 to 3650")
 	return []*cobra.Command{
-		parent("token", "Make operators' tokens", groupLocal, newToken),
-		parent("keys", "Make certificates for tests and demos", groupLocal, newKeys),
+		newParentCommand("token", "Make operators' tokens", groupLocal, newToken),
+		newParentCommand("keys", "Make certificates for tests and demos", groupLocal, newKeys),
 	}
 }
--- a/ctl/commander/review.go
+++ b/ctl/commander/review.go
@@ -22,14 +22,14 @@
 		Use: "proposals TEAM", Short: "Show the changes that wait for review", GroupID: groupReview,
 		Example: "  srctl proposals quoting",
 		Args:    cobra.ExactArgs(1),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			_, list, err := c.proposals(ctx, args[0])
 			if err != nil {
 				return err
 			}
 			return c.print(list, func(w io.Writer) {
 				for _, proposal := range list {
-					describe(w, proposal)
+					writeProposal(w, proposal)
 				}
 			})
 		}),
@@ -42,7 +42,7 @@
 hash that --content names, such as the one that "srctl proposals" showed.`,
 		Example: "  srctl approve quoting 6f1c3f2e-4f5b-4a53-9a59-3c1d9f2f7a10 --content 9f86d081...",
 		Args:    cobra.ExactArgs(2),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			return c.review(ctx, sycamorerun.Approve, args, content, wait)
 		}),
 	}
@@ -50,23 +50,24 @@
 		Use: "reject TEAM ID", Short: "Reject a change that waits for review", GroupID: groupReview,
 		Example: "  srctl reject quoting 6f1c3f2e-4f5b-4a53-9a59-3c1d9f2f7a10",
 		Args:    cobra.ExactArgs(2),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			return c.review(ctx, sycamorerun.Reject, args, content, false)
 		}),
 	}
-	waitFlag(approve, &wait)
+	addWaitFlag(approve, &wait)
 	for _, command := range []*cobra.Command{approve, reject} {
 		command.Flags().StringVar(&content, "content", "", "hex `SHA-256` of the reviewed content; by default that of the proposal as it is now")
 	}
 	return []*cobra.Command{proposals, approve, reject}
 }
 
+// proposals returns a team's pending proposals and the client that read them.
 func (c *Commander) proposals(ctx context.Context, name string) (*requester.Requester, []*settings.Proposal, error) {
-	name, err := team(name)
+	name, err := parseTeam(name)
 	if err != nil {
 		return nil, nil, err
 	}
-	r, err := c.requester()
+	r, err := c.newRequester()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -76,15 +77,15 @@
 	return r, list, err
 }
 
-func describe(w io.Writer, proposal *settings.Proposal) {
+func writeProposal(w io.Writer, proposal *settings.Proposal) {
 	fmt.Fprintf(w, "proposal %s by %s at %s\ncontent %s\n", proposal.ID, proposal.Operator, proposal.Time, proposal.Content)
 	printer.Differences(w, proposal.Differences)
 }
 
-// review decides on one proposal.
+// review approves or rejects a proposal.
 func (c *Commander) review(ctx context.Context, kind sycamorerun.ChangeKind, args []string, content string, wait bool) error {
 	if uuid.Validate(args[1]) != nil {
-		return usage(errors.Errorf("%q is not a UUID", args[1]))
+		return usageError(errors.Errorf("%q is not a UUID", args[1]))
 	}
 	r, list, err := c.proposals(ctx, args[0])
 	if err != nil {
@@ -98,11 +99,11 @@
 			content = proposal.Content
 		}
 		if c.output == printer.Text {
-			if err := c.print(nil, func(w io.Writer) { describe(w, proposal) }); err != nil {
+			if err := c.print(nil, func(w io.Writer) { writeProposal(w, proposal) }); err != nil {
 				return err
 			}
 		}
-		return c.change(ctx, r, &settings.SubmitPayload{
+		return c.submitChange(ctx, r, &settings.SubmitPayload{
 			Kind: string(kind), Team: args[0], Proposal: &proposal.ID, Content: &content,
 		}, wait)
 	}
--- a/ctl/commander/settings.go
+++ b/ctl/commander/settings.go
@@ -31,11 +31,11 @@
 settings by someone else in the meantime is a conflict.`,
 		Example: "  srctl apply quoting.yaml\n  srctl apply --wait --server 10.0.0.1:7070 --server 10.0.1.1:7070 quoting.yaml",
 		Args:    cobra.ExactArgs(1),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
 			return c.apply(ctx, args[0], id, wait)
 		}),
 	}
-	waitFlag(apply, &wait)
+	addWaitFlag(apply, &wait)
 	apply.Flags().StringVar(&id, "id", "", "`UUID` of the change, to repeat an interrupted one; new by default")
 
 	validate := &cobra.Command{
@@ -47,7 +47,7 @@
 tree. With --server, each file is also checked against the tree in force.`,
 		Example: "  srctl validate quoting.yaml\n  srctl validate admin.yaml quoting.yaml\n  srctl validate --server 10.0.0.1:7070 quoting.yaml",
 		Args:    cobra.MinimumNArgs(1),
-		RunE: c.run(func(ctx context.Context, command *cobra.Command, args []string) error {
+		RunE: c.runE(func(ctx context.Context, command *cobra.Command, args []string) error {
 			return c.validate(ctx, args, command.Flags().Changed("server"))
 		}),
 	}
@@ -55,19 +55,19 @@
 		Use: "diff FILE", Short: "Show what applying a settings file would change", GroupID: groupSettings,
 		Example: "  srctl diff quoting.yaml",
 		Args:    cobra.ExactArgs(1),
-		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
-			_, result, err := c.compare(ctx, args[0])
+		RunE: c.runE(func(ctx context.Context, _ *cobra.Command, args []string) error {
+			_, result, err := c.checkFile(ctx, args[0])
 			if err != nil {
 				return err
 			}
-			return c.print(result, func(w io.Writer) { c.differences(w, result) })
+			return c.print(result, func(w io.Writer) { c.writeDifferences(w, result) })
 		}),
 	}
 	get := &cobra.Command{
 		Use: "get [TEAM]", Short: "Print the settings in force as settings files", GroupID: groupSettings,
 		Example: "  srctl get quoting > quoting.yaml\n  srctl get admin",
 		Args:    cobra.MaximumNArgs(1),
-		RunE:    c.run(c.get),
+		RunE:    c.runE(c.get),
 	}
 	for _, command := range []*cobra.Command{apply, validate, diff} {
 		command.ValidArgsFunction = func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
@@ -77,46 +77,47 @@
 	return []*cobra.Command{apply, validate, diff, get}
 }
 
-// fault is a fault and the file that has it.
-type fault struct {
+// fileFault is a fault with the settings file that contains it. Its field names are
+// keys of the JSON output.
+type fileFault struct {
 	File string
 	sycamorerun.Fault
 }
 
-// refuse prints faults and ends with the code for refused settings.
-func (c *Commander) refuse(faults []fault) error {
+// reportFaults prints faults and returns an exitError for refused settings.
+func (c *Commander) reportFaults(faults []fileFault) error {
 	err := c.print(map[string]any{"faults": faults}, func(w io.Writer) {
 		for _, fault := range faults {
-			place := fault.File
+			location := fault.File
 			if fault.Line > 0 {
-				place += fmt.Sprintf(":%d", fault.Line)
+				location += fmt.Sprintf(":%d", fault.Line)
 			}
 			if fault.Path != "" {
-				place += ": " + fault.Path
+				location += ": " + fault.Path
 			}
-			fmt.Fprintf(w, "%s: %s (%s)\n", place, fault.Reason, fault.Code)
+			fmt.Fprintf(w, "%s: %s (%s)\n", location, fault.Reason, fault.Code)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	return &exit{code: ExitRefused}
+	return &exitError{code: ExitRefused}
 }
 
-func inFile(file string, found []sycamorerun.Fault) []fault {
-	var faults []fault
-	for _, one := range found {
-		faults = append(faults, fault{file, one})
+func faultsInFile(file string, found []sycamorerun.Fault) []fileFault {
+	var faults []fileFault
+	for _, fault := range found {
+		faults = append(faults, fileFault{file, fault})
 	}
 	return faults
 }
 
-func fromAPI(found []*settings.Fault) []sycamorerun.Fault {
+func faultsFromAPI(apiFaults []*settings.Fault) []sycamorerun.Fault {
 	var faults []sycamorerun.Fault
-	for _, one := range found {
-		converted := sycamorerun.Fault{Code: one.Code, Path: one.Path, Reason: one.Reason}
-		if one.Line != nil {
-			converted.Line = *one.Line
+	for _, apiFault := range apiFaults {
+		converted := sycamorerun.Fault{Code: apiFault.Code, Path: apiFault.Path, Reason: apiFault.Reason}
+		if apiFault.Line != nil {
+			converted.Line = *apiFault.Line
 		}
 		faults = append(faults, converted)
 	}
@@ -133,44 +134,47 @@
 	return text, subtree, faults, nil
 }
 
-// check asks a node to validate and compare a settings file.
-func check(ctx context.Context, r *requester.Requester, team string, text []byte) (*settings.CheckResult, error) {
+// checkAtNode has a node validate a settings file and compare it with the tree in
+// force.
+func checkAtNode(ctx context.Context, r *requester.Requester, team string, text []byte) (*settings.CheckResult, error) {
 	return requester.Read(ctx, r, func(ctx context.Context, node *requester.Node) (*settings.CheckResult, error) {
 		return node.Settings.Check(ctx, &settings.CheckPayload{Token: r.Authorization(), Team: team, Settings: string(text)})
 	})
 }
 
-// proposed is a settings file that passed the checks.
-type proposed struct {
+// checkedFile is a settings file that passed the local checks and the node's, with
+// the client to submit it.
+type checkedFile struct {
 	requester *requester.Requester
 	team      string
 	text      []byte
 }
 
-// compare checks a settings file here and at a node.
-func (c *Commander) compare(ctx context.Context, file string) (proposed, *settings.CheckResult, error) {
+// checkFile checks a settings file locally and at a node. It prints the faults of a
+// file that fails a check.
+func (c *Commander) checkFile(ctx context.Context, file string) (checkedFile, *settings.CheckResult, error) {
 	text, subtree, faults, err := c.parse(file)
 	if err != nil {
-		return proposed{}, nil, err
+		return checkedFile{}, nil, err
 	}
 	if len(faults) > 0 {
-		return proposed{}, nil, c.refuse(inFile(file, faults))
+		return checkedFile{}, nil, c.reportFaults(faultsInFile(file, faults))
 	}
-	r, err := c.requester()
+	r, err := c.newRequester()
 	if err != nil {
-		return proposed{}, nil, err
+		return checkedFile{}, nil, err
 	}
-	result, err := check(ctx, r, subtree.Team, text)
+	result, err := checkAtNode(ctx, r, subtree.Team, text)
 	if err != nil {
-		return proposed{}, nil, err
+		return checkedFile{}, nil, err
 	}
 	if len(result.Faults) > 0 {
-		return proposed{}, nil, c.refuse(inFile(file, fromAPI(result.Faults)))
+		return checkedFile{}, nil, c.reportFaults(faultsInFile(file, faultsFromAPI(result.Faults)))
 	}
-	return proposed{r, subtree.Team, text}, result, nil
+	return checkedFile{r, subtree.Team, text}, result, nil
 }
 
-func (c *Commander) differences(w io.Writer, result *settings.CheckResult) {
+func (c *Commander) writeDifferences(w io.Writer, result *settings.CheckResult) {
 	if len(result.Differences) == 0 {
 		fmt.Fprintf(w, "no difference from version %d\n", result.Version)
 		return
@@ -181,97 +185,98 @@
 
 func (c *Commander) apply(ctx context.Context, file, id string, wait bool) error {
 	if id != "" && uuid.Validate(id) != nil {
-		return usage(fmt.Errorf("--id %q is not a UUID", id))
+		return usageError(fmt.Errorf("--id %q is not a UUID", id))
 	}
-	proposed, result, err := c.compare(ctx, file)
+	checked, result, err := c.checkFile(ctx, file)
 	if err != nil {
 		return err
 	}
 	if c.output == printer.Text {
-		if err := c.print(nil, func(w io.Writer) { c.differences(w, result) }); err != nil {
+		if err := c.print(nil, func(w io.Writer) { c.writeDifferences(w, result) }); err != nil {
 			return err
 		}
 	}
-	// A repeated change has taken effect, perhaps; its outcome still counts.
+	// A change that is repeated with --id may have taken effect already, so that
+	// no difference is left. It is submitted all the same, for its outcome.
 	if len(result.Differences) == 0 && id == "" {
 		if c.output == printer.JSON {
 			return c.print(result, nil)
 		}
 		return nil
 	}
-	settingsText := string(proposed.text)
-	return c.change(ctx, proposed.requester, &settings.SubmitPayload{
-		ID: id, Kind: string(sycamorerun.Apply), Team: proposed.team, Base: &result.Version, Settings: &settingsText,
+	settingsText := string(checked.text)
+	return c.submitChange(ctx, checked.requester, &settings.SubmitPayload{
+		ID: id, Kind: string(sycamorerun.Apply), Team: checked.team, Base: &result.Version, Settings: &settingsText,
 	}, wait)
 }
 
 func (c *Commander) validate(ctx context.Context, files []string, online bool) error {
 	tree := map[sycamorerun.Path]sycamorerun.Item{}
-	owners := map[string]string{}
-	texts := map[string][]byte{}
-	var faults []fault
+	fileByTeam := map[string]string{}
+	textByTeam := map[string][]byte{}
+	var faults []fileFault
 	for _, file := range files {
 		text, subtree, found, err := c.parse(file)
 		if err != nil {
 			return err
 		}
-		if other, ok := owners[subtree.Team]; ok && len(found) == 0 {
-			found = []sycamorerun.Fault{{Code: parser.CodeDuplicate, Path: "team", Reason: "the team has the file " + other + " already"}}
+		if otherFile, ok := fileByTeam[subtree.Team]; ok && len(found) == 0 {
+			found = []sycamorerun.Fault{{Code: parser.CodeDuplicate, Path: "team", Reason: "the team has the file " + otherFile + " already"}}
 		}
-		faults = append(faults, inFile(file, found)...)
-		owners[subtree.Team] = file
-		texts[subtree.Team] = text
+		faults = append(faults, faultsInFile(file, found)...)
+		fileByTeam[subtree.Team] = file
+		textByTeam[subtree.Team] = text
 		maps.Copy(tree, subtree.Items)
 	}
-	if _, whole := owners[sycamorerun.AdminTeam]; whole && len(faults) == 0 {
-		for _, found := range validator.Check(tree) {
-			faults = append(faults, fault{owners[sycamorerun.Path(found.Path).Team()], found})
+	if _, hasAdminFile := fileByTeam[sycamorerun.AdminTeam]; hasAdminFile && len(faults) == 0 {
+		for _, treeFault := range validator.Check(tree) {
+			faults = append(faults, fileFault{fileByTeam[sycamorerun.Path(treeFault.Path).Team()], treeFault})
 		}
 	}
 	if online && len(faults) == 0 {
-		found, err := c.checkAll(ctx, owners, texts)
+		nodeFaults, err := c.checkAllAtNode(ctx, fileByTeam, textByTeam)
 		if err != nil {
 			return err
 		}
-		faults = found
+		faults = nodeFaults
 	}
 	if len(faults) > 0 {
-		return c.refuse(faults)
+		return c.reportFaults(faults)
 	}
-	return c.print(map[string]any{"faults": []fault{}}, func(w io.Writer) {
+	return c.print(map[string]any{"faults": []fileFault{}}, func(w io.Writer) {
 		for _, file := range files {
 			fmt.Fprintf(w, "%s: valid\n", file)
 		}
 	})
 }
 
-// checkAll checks each team's file at a node.
-func (c *Commander) checkAll(ctx context.Context, owners map[string]string, texts map[string][]byte) ([]fault, error) {
-	r, err := c.requester()
+// checkAllAtNode checks each team's file at a node.
+func (c *Commander) checkAllAtNode(ctx context.Context, fileByTeam map[string]string, textByTeam map[string][]byte) ([]fileFault, error) {
+	r, err := c.newRequester()
 	if err != nil {
 		return nil, err
 	}
-	var faults []fault
-	for _, team := range slices.Sorted(maps.Keys(owners)) {
-		result, err := check(ctx, r, team, texts[team])
+	var faults []fileFault
+	for _, team := range slices.Sorted(maps.Keys(fileByTeam)) {
+		result, err := checkAtNode(ctx, r, team, textByTeam[team])
 		if err != nil {
 			return nil, err
 		}
-		faults = append(faults, inFile(owners[team], fromAPI(result.Faults))...)
+		faults = append(faults, faultsInFile(fileByTeam[team], faultsFromAPI(result.Faults))...)
 	}
 	return faults, nil
 }
 
-// get prints the items in force as settings files, with the version as a
-// comment.
+// get prints the settings in force as settings files, below a comment with their
+// version.
 func (c *Commander) get(ctx context.Context, _ *cobra.Command, args []string) error {
-	r, err := c.requester()
+	r, err := c.newRequester()
 	if err != nil {
 		return err
 	}
 	payload := &settings.ReadPayload{Token: r.Authorization()}
 	if len(args) > 0 {
-		name, err := team(args[0])
+		name, err := parseTeam(args[0])
 		if err != nil {
 			return err
 		}
@@ -285,21 +290,23 @@
 	}
 	var text string
 	if c.output == printer.Text {
-		if text, err = render(result, payload.Team); err != nil {
+		if text, err = renderTeams(result, payload.Team); err != nil {
 			return err
 		}
 	}
 	return c.print(result, func(w io.Writer) { io.WriteString(w, text) })
 }
 
-func render(result *settings.ReadResult, only *string) (string, error) {
+// renderTeams returns the settings files of all teams, or of onlyTeam, as one YAML
+// stream.
+func renderTeams(result *settings.ReadResult, onlyTeam *string) (string, error) {
 	teams := map[string]map[sycamorerun.Path]sycamorerun.Item{}
-	if only != nil {
-		teams[*only] = nil
+	if onlyTeam != nil {
+		teams[*onlyTeam] = nil
 	}
 	for _, record := range result.Items {
 		path := sycamorerun.Path(record.Path)
-		if only != nil && path.Team() != *only {
+		if onlyTeam != nil && path.Team() != *onlyTeam {
 			continue
 		}
 		if teams[path.Team()] == nil {
