--- a/ctl/cmd/srctl/main.go
+++ b/ctl/cmd/srctl/main.go
@@ -13,19 +13,19 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	commander := &commander.Commander{
+	c := &commander.Commander{
 		In: os.Stdin, Out: os.Stdout, Err: os.Stderr,
-		Terminal: terminal(os.Stderr),
+		Terminal: isTerminal(os.Stderr),
 		Getenv:   os.Getenv,
 		Now:      time.Now,
 	}
-	code := commander.Execute(ctx, os.Args[1:])
+	code := c.Execute(ctx, os.Args[1:])
 	stop()
 	os.Exit(code)
 }
 
-// terminal reports whether a person sees the file's output.
-func terminal(file *os.File) bool {
+// isTerminal reports whether the file is a character device, such as a terminal.
+func isTerminal(file *os.File) bool {
 	info, err := file.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
