--- a/bench/judge/judge_test.go
+++ b/bench/judge/judge_test.go
@@ -140,9 +140,9 @@
 	var journal strings.Builder
 	upstream := recorder.New()
 	upstream.Journal, upstream.Instance = &journal, "u"
-	upstream.Note(at(0), recorder.StepBoot, "")
+	upstream.LogEvent(at(0), recorder.StepBoot, "")
 	upstream.Run("key")
-	upstream.Note(at(5), recorder.StepStart, "r.0")
+	upstream.LogEvent(at(5), recorder.StepStart, "r.0")
 	got, err := recorder.Events(strings.NewReader(journal.String() + "end 12"))
 	is.NoErr(err)
 	is.Equal(len(got), 2)
--- a/upstream/cmd/srupstream/main.go
+++ b/upstream/cmd/srupstream/main.go
@@ -96,7 +96,7 @@
 		upstream.Caller = server.NewCaller(s.callers)
 	}
 	upstream.Recorder.Instance = s.name
-	upstream.Recorder.Note(started, recorder.StepBoot, "")
+	upstream.Recorder.LogEvent(started, recorder.StepBoot, "")
 	upstream.Behave(server.Behavior{State: sycamorerun.StateReady})
 	connections, err := listener.New(s.listen, s.connections, s.connect)
 	if err != nil {
--- a/upstream/recorder/event.go
+++ b/upstream/recorder/event.go
@@ -49,9 +49,9 @@
 	Time time.Time
 }
 
-// Note writes an event of this upstream to the journal. The line is written
+// LogEvent writes an event of this upstream to the journal. The line is written
 // at once, so that a killed process loses none.
-func (r *Recorder) Note(now time.Time, step Step, id string) {
+func (r *Recorder) LogEvent(now time.Time, step Step, id string) {
 	if r.Journal == nil {
 		return
 	}
--- a/upstream/server/run.go
+++ b/upstream/server/run.go
@@ -42,9 +42,9 @@
 	leaves := state == sycamorerun.StateDraining || state == sycamorerun.StateLeft
 	switch {
 	case leaves && !s.left:
-		s.Recorder.Note(s.Now(), recorder.StepLeave, "")
+		s.Recorder.LogEvent(s.Now(), recorder.StepLeave, "")
 	case !leaves && s.left:
-		s.Recorder.Note(s.Now(), recorder.StepReady, "")
+		s.Recorder.LogEvent(s.Now(), recorder.StepReady, "")
 	}
 	s.left = leaves
 }
@@ -52,7 +52,7 @@
 // note writes an event of a request; requests without an id have none.
 func (s *Server) note(step recorder.Step, id string) {
 	if identifies(id) {
-		s.Recorder.Note(s.Now(), step, id)
+		s.Recorder.LogEvent(s.Now(), step, id)
 	}
 }
 
