--- a/bench/judge/judge_test.go
+++ b/bench/judge/judge_test.go
@@ -141,7 +141,7 @@
 	upstream := recorder.New()
 	upstream.Journal, upstream.Instance = &journal, "u"
 	upstream.LogEvent(at(0), recorder.StepBoot, "")
-	upstream.Run("key")
+	upstream.RecordRun("key")
 	upstream.LogEvent(at(5), recorder.StepStart, "r.0")
 	got, err := recorder.Events(strings.NewReader(journal.String() + "end 12"))
 	is.NoErr(err)
--- a/upstream/recorder/journal.go
+++ b/upstream/recorder/journal.go
@@ -33,7 +33,7 @@
 		kind, value, _ := strings.Cut(scanner.Text(), " ")
 		switch kind {
 		case lineRun:
-			recorder.Run(value)
+			recorder.RecordRun(value)
 		case lineUpload:
 			recorder.Upload(value)
 		default:
--- a/upstream/recorder/recorder.go
+++ b/upstream/recorder/recorder.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Run records one execution of the non-idempotent request with key.
-func (r *Recorder) Run(key string) {
+// RecordRun records one execution of the non-idempotent request with key.
+func (r *Recorder) RecordRun(key string) {
 	r.update(func(records *Records) {
 		records.Runs[key]++
 		r.note(lineRun, key)
--- a/upstream/server/chain.go
+++ b/upstream/server/chain.go
@@ -77,7 +77,7 @@
 func (s *Server) chain(w http.ResponseWriter, r *http.Request) {
 	rest := r.PathValue("rest")
 	if rest == "" {
-		s.Recorder.Run(r.URL.Query().Get("key"))
+		s.Recorder.RecordRun(r.URL.Query().Get("key"))
 		writeJSON(w, Chain{
 			Links: 1, Left: r.Header.Get(sycamorerun.HeaderDeadline), Attempt: r.Header.Get(sycamorerun.HeaderAttempt),
 		})
--- a/upstream/server/server.go
+++ b/upstream/server/server.go
@@ -220,7 +220,7 @@
 	if key == "" {
 		key = r.URL.Query().Get("key")
 	}
-	s.Recorder.Run(key)
+	s.Recorder.RecordRun(key)
 	if d, err := time.ParseDuration(r.URL.Query().Get("for")); err == nil && !s.wait(r.Context(), min(d, maxSlow)) {
 		expired(w)
 		return
--- a/upstream/server/server_test.go
+++ b/upstream/server/server_test.go
@@ -147,9 +147,9 @@
 	var journal bytes.Buffer
 	first, second := recorder.New(), recorder.New()
 	first.Journal, second.Journal = &journal, &journal
-	first.Run("k1")
+	first.RecordRun("k1")
 	first.Upload("sum")
-	second.Run("k1")
+	second.RecordRun("k1")
 	records, err := recorder.Replay(&journal)
 	is.NoErr(err)
 	is.Equal(records, recorder.Records{Runs: map[string]int{"k1": 2}, Uploads: []string{"sum"}})
