--- a/bench/caller/send.go
+++ b/bench/caller/send.go
@@ -60,7 +60,7 @@
 	attempt.Result = resultOf(response)
 	attempt.Reason = response.Header.Get(sycamorerun.HeaderReason)
 	attempt.Whole = attempt.Answered() && response.Header.Get(server.HeaderCall) == attempt.ID && bytes.Equal(received, wanted)
-	if left, err := strconv.Atoi(response.Header.Get(server.HeaderLeft)); err == nil && kind.Marker && attempt.Whole {
+	if left, err := strconv.Atoi(response.Header.Get(server.HeaderReceivedDeadline)); err == nil && kind.Marker && attempt.Whole {
 		attempt.Version = versionOf(left)
 	}
 	return attempt, retryAfter(response)
--- a/upstream/server/run.go
+++ b/upstream/server/run.go
@@ -97,7 +97,7 @@
 		return
 	}
 	w.Header().Set(HeaderCall, id)
-	w.Header().Set(HeaderLeft, r.Header.Get(sycamorerun.HeaderDeadline))
+	w.Header().Set(HeaderReceivedDeadline, r.Header.Get(sycamorerun.HeaderDeadline))
 	end = recorder.StepEnd
 	if fault := s.fault(id); fault != nil {
 		fault(w, r, answer)
--- a/upstream/server/server.go
+++ b/upstream/server/server.go
@@ -27,8 +27,8 @@
 	HeaderLoad     = "X-Load"
 	// HeaderCall carries the id of a caller's attempt, which the response repeats.
 	HeaderCall = "X-Call"
-	// HeaderLeft is the deadline with which the request arrived, in the response.
-	HeaderLeft = "X-Left"
+	// HeaderReceivedDeadline is the deadline with which the request arrived, in the response.
+	HeaderReceivedDeadline = "X-Left"
 )
 
 // pathHealth is the path of the health endpoint.
