--- a/bench/system/chains_test.go
+++ b/bench/system/chains_test.go
@@ -112,7 +112,7 @@
 		is.Equal(status, http.StatusOK)
 		is.Equal(chain.Links, depth)
 		is.Equal(chain.Attempt, "1")
-		left, err := strconv.Atoi(chain.Left)
+		left, err := strconv.Atoi(chain.Deadline)
 		is.NoErr(err)
 		t.Logf("%s: answered in %s, %d ms of %s left at the last link", node.Name, time.Since(began), left, limit)
 		is.True(left > 0 && left < int(limit.Milliseconds()))
--- a/upstream/server/chain.go
+++ b/upstream/server/chain.go
@@ -18,10 +18,10 @@
 type Chain struct {
 	// Links counts the upstreams from here to the last one.
 	Links int `json:"links"`
-	// Left is the header Sycamorerun-Deadline at the last upstream, Attempt the
+	// Deadline is the header Sycamorerun-Deadline at the last upstream, Attempt the
 	// header Sycamorerun-Attempt there.
-	Left    string `json:"left"`
-	Attempt string `json:"attempt"`
+	Deadline string `json:"left"`
+	Attempt  string `json:"attempt"`
 }
 
 // chainBytes bounds the answer of the next upstream.
@@ -79,7 +79,7 @@
 	if rest == "" {
 		s.Recorder.RecordRun(r.URL.Query().Get("key"))
 		writeJSON(w, Chain{
-			Links: 1, Left: r.Header.Get(sycamorerun.HeaderDeadline), Attempt: r.Header.Get(sycamorerun.HeaderAttempt),
+			Links: 1, Deadline: r.Header.Get(sycamorerun.HeaderDeadline), Attempt: r.Header.Get(sycamorerun.HeaderAttempt),
 		})
 		return
 	}
--- a/upstream/server/server_test.go
+++ b/upstream/server/server_test.go
@@ -134,7 +134,7 @@
 			is.NoErr(json.Unmarshal(answer.Body.Bytes(), &chain))
 			is.Equal(chain.Links, c.links)
 			is.Equal(chain.Attempt, "2")
-			left, err := strconv.Atoi(chain.Left)
+			left, err := strconv.Atoi(chain.Deadline)
 			is.NoErr(err)
 			is.True(left > 0 && left <= 5000)
 		})
