--- a/objectstore/cmd/srstore/main.go
+++ b/objectstore/cmd/srstore/main.go
@@ -1,5 +1,4 @@
-// Command srstore is a stand-in for the platform's object store. It keeps all
-// objects in memory.
+// Command srstore runs an in-memory stand-in for the platform's object store.
 package main
 
 import (
@@ -25,7 +24,7 @@
 	"sycamorerun/objectstore/server"
 )
 
-const headTimeout = 5 * time.Second
+const headerTimeout = 5 * time.Second
 
 type settings struct {
 	listen  netip.AddrPort
@@ -36,46 +35,46 @@
 }
 
 func main() {
-	var o settings
-	l := loader.New("srstore")
-	loader.Add(l, &o.listen, "listen", "127.0.0.1:7000", loader.Address(), "address to listen on")
-	loader.Add(l, &o.faults, "faults", "", loader.Text("JSON as for PUT /faults, or nothing"), "fault plan")
-	loader.Add(l, &o.history, "history", "4096", loader.Int(1, 1<<20), "writes that a watch can still see")
-	loader.Add(l, &o.seed, "seed", "1", loader.Int(0, math.MaxInt), "seed for faults that hit a fraction of the calls")
-	loader.Add(l, &o.level, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "least level logged")
-	proceed, code := l.Start(os.Args[1:], os.LookupEnv, loader.Streams{Out: os.Stdout, Err: os.Stderr})
-	if !proceed {
+	var cfg settings
+	flags := loader.New("srstore")
+	loader.Add(flags, &cfg.listen, "listen", "127.0.0.1:7000", loader.Address(), "address to listen on")
+	loader.Add(flags, &cfg.faults, "faults", "", loader.Text("JSON as for PUT /faults, or nothing"), "fault plan")
+	loader.Add(flags, &cfg.history, "history", "4096", loader.Int(1, 1<<20), "writes that a watch can still see")
+	loader.Add(flags, &cfg.seed, "seed", "1", loader.Int(0, math.MaxInt), "seed for faults that hit a fraction of the calls")
+	loader.Add(flags, &cfg.level, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "least level logged")
+	ok, code := flags.Start(os.Args[1:], os.LookupEnv, loader.Streams{Out: os.Stdout, Err: os.Stderr})
+	if !ok {
 		os.Exit(code)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := run(ctx, o); err != nil {
+	if err := run(ctx, cfg); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(ctx context.Context, o settings) error {
-	s := server.New(keeper.New(o.history), injector.New(uint64(o.seed)))
-	s.Logger = logger.New(os.Stderr, o.level, "program", "srstore")
-	if o.faults != "" {
+func run(ctx context.Context, cfg settings) error {
+	s := server.New(keeper.New(cfg.history), injector.New(uint64(cfg.seed)))
+	s.Logger = logger.New(os.Stderr, cfg.level, "program", "srstore")
+	if cfg.faults != "" {
 		var plan injector.Plan
-		if err := json.Unmarshal([]byte(o.faults), &plan); err != nil {
+		if err := json.Unmarshal([]byte(cfg.faults), &plan); err != nil {
 			return errors.Wrap(err, "--faults")
 		}
 		if err := s.SetFaults(plan); err != nil {
 			return errors.Wrap(err, "--faults")
 		}
 	}
-	listener, err := net.Listen("tcp", o.listen.String())
+	listener, err := net.Listen("tcp", cfg.listen.String())
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
 	_ = level.Info(s.Logger).Log("msg", "listening", "address", listener.Addr())
-	// The objects are lost with the process, so there is nothing to drain.
-	h := &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, ConnContext: server.Connect}
-	defer context.AfterFunc(ctx, func() { _ = h.Close() })()
-	if err := h.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+	// The objects are held in memory only, so a shutdown needs no drain.
+	httpServer := &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, ConnContext: server.ConnContext}
+	defer context.AfterFunc(ctx, func() { _ = httpServer.Close() })()
+	if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "serve")
 	}
 	return nil
--- a/objectstore/injector/injector.go
+++ b/objectstore/injector/injector.go
@@ -1,5 +1,5 @@
-// Package injector decides which faults and limits a call to the stand-in
-// store meets.
+// Package injector decides which faults and rate limits apply to a call of the
+// stand-in store.
 package injector
 
 import (
@@ -20,28 +20,29 @@
 
 // Kinds of faults.
 const (
-	// Refuse answers 503 before any effect.
+	// Refuse answers with status 503 and doesn't execute the call.
 	Refuse Kind = "refuse"
-	// Stall keeps the call without effect until the caller gives up.
+	// Stall neither executes nor answers the call until the caller gives up.
 	Stall Kind = "stall"
-	// Delay waits before the effect.
+	// Delay waits before the call is executed.
 	Delay Kind = "delay"
-	// Lose cuts the connection after the effect.
+	// Lose executes the call and closes the connection without an answer.
 	Lose Kind = "lose"
-	// Stale answers reads from the state at the time the plan was set.
+	// Stale answers reads from the state at the time when the plan was set.
 	Stale Kind = "stale"
-	// Mute never answers after the effect; the connection stays open.
+	// Mute executes the call and never answers. The connection stays open.
 	Mute Kind = "mute"
-	// Late cuts the connection at once; the effect of a write comes after Delay.
+	// Late closes the connection at once and executes the write after Delay.
 	Late Kind = "late"
-	// Forget discards the history and answers a watch that it is gone.
+	// Forget discards the history and answers a watch with status 410.
 	Forget Kind = "forget"
-	// Silence makes the connections that are open when the plan is set silent for
-	// good: their calls have no effect and no answer. New connections work.
+	// Silence affects the connections that are open when the plan is set: their
+	// calls are neither executed nor answered, also after the plan is replaced.
+	// New connections work.
 	Silence Kind = "silence"
 )
 
-// effects say what a rule of a kind does to a call.
+// effects maps each kind to its effect on the decision.
 var effects = map[Kind]func(*Decision, Rule){
 	Refuse:  func(d *Decision, _ Rule) { d.Refuse = true },
 	Stall:   func(d *Decision, _ Rule) { d.Stall = true },
@@ -54,13 +55,14 @@
 	Silence: func(d *Decision, _ Rule) { d.Silence = true },
 }
 
-// only lists the operations of kinds that concern no others.
-var only = map[Kind][]Operation{
+// applicableOperations lists the operations of the kinds that apply to some
+// operations only.
+var applicableOperations = map[Kind][]Operation{
 	Late:   {Put, Delete},
 	Forget: {Watch},
 }
 
-// Operation is a call of the store.
+// Operation is a kind of call of the store.
 type Operation string
 
 // Operations of the store.
@@ -72,42 +74,45 @@
 	Watch  Operation = "watch"
 )
 
-// Write reports whether the operation counts as a write.
-func (o Operation) Write() bool { return o == Put || o == Delete }
+// IsWrite reports whether the operation counts towards the write limit.
+func (o Operation) IsWrite() bool { return o == Put || o == Delete }
 
-// Default rate limits in calls per second, those of the platform's store.
+// Default rate limits in calls per second, equal to those of the platform's
+// store.
 const (
 	DefaultReads  = 2000
 	DefaultWrites = 400
 )
 
-// Rule is a fault and the calls that meet it.
+// Rule is a fault and a selection of the calls that it affects.
 type Rule struct {
 	Kind Kind `json:"kind"`
-	// Operations, Prefix and Caller select calls; empty selects all.
+	// Operations, Prefix and Caller select calls. An empty field selects all.
 	Operations []Operation `json:"operations,omitempty"`
 	Prefix     string      `json:"prefix,omitempty"`
 	Caller     string      `json:"caller,omitempty"`
-	// Share is the share of the callers whose calls are selected, always the same
-	// ones for a seed; 0 meaning all.
+	// Share is the share of the callers whose calls are selected, 0 meaning all.
+	// A seed always selects the same callers.
 	Share float64 `json:"share,omitempty"`
-	// Fraction of the selected calls, 0 meaning all.
+	// Fraction is the probability that a selected call is affected, 0 meaning
+	// always.
 	Fraction float64 `json:"fraction,omitempty"`
-	// Count ends the rule after so many faults, 0 meaning never.
+	// Count is the number of faults after which the rule ends, 0 meaning never.
 	Count int                  `json:"count,omitempty"`
 	Delay sycamorerun.Duration `json:"delay,omitempty"`
 }
 
-// Plan is the set of faults and limits in force.
+// Plan is a set of faults and rate limits.
 type Plan struct {
 	Rules []Rule `json:"rules,omitempty"`
-	// Reads and Writes are calls per second: 0 the default, below 0 no limit.
+	// Reads and Writes are limits in calls per second. Zero means the default, a
+	// negative number no limit.
 	Reads  int `json:"reads,omitempty"`
 	Writes int `json:"writes,omitempty"`
 }
 
-// Verify reports the first fault of the plan itself.
-func (p Plan) Verify() error {
+// Validate returns an error for the first invalid rule.
+func (p Plan) Validate() error {
 	operations := []Operation{Get, List, Put, Delete, Watch}
 	for i, rule := range p.Rules {
 		if effects[rule.Kind] == nil {
@@ -131,16 +136,17 @@
 	return nil
 }
 
-// Call is what a rule can select by. Key is the prefix for lists and watches.
+// Call has the attributes of a call that a rule can select by. Key is the prefix
+// for lists and watches.
 type Call struct {
 	Operation Operation
 	Key       string
 	Caller    string
-	// Opened is when the call's connection was opened, zero if that is not known.
+	// Opened is when the call's connection was opened, zero if unknown.
 	Opened time.Time
 }
 
-// Decision is what a call meets.
+// Decision lists the faults that apply to a call.
 type Decision struct {
 	Limited bool
 	Refuse  bool
@@ -151,7 +157,8 @@
 	Forget  bool
 	Silence bool
 	Delay   time.Duration
-	// Late is positive for a call whose effect comes after that time.
+	// Late, if positive, is the delay until the call is executed, after its
+	// connection was closed.
 	Late time.Duration
 }
 
@@ -160,30 +167,31 @@
 	mu     sync.Mutex
 	seed   uint64
 	plan   Plan
-	since  time.Time
+	setAt  time.Time
 	random *rand.Rand
-	reads  window
-	writes window
+	reads  rateWindow
+	writes rateWindow
 }
 
-// New returns an injector without faults whose fractions derive from seed.
+// New returns an injector without faults. The seed determines which callers and
+// calls a share or fraction selects.
 func New(seed uint64) *Injector {
 	return &Injector{seed: seed, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
 // Set replaces the plan at now.
 func (i *Injector) Set(now time.Time, plan Plan) error {
-	if err := plan.Verify(); err != nil {
+	if err := plan.Validate(); err != nil {
 		return err
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	plan.Rules = slices.Clone(plan.Rules)
-	i.plan, i.since = plan, now
+	i.plan, i.setAt = plan, now
 	return nil
 }
 
-// Plan returns the plan in force with the remaining counts.
+// Plan returns the current plan with the remaining counts.
 func (i *Injector) Plan() Plan {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -192,16 +200,16 @@
 	return plan
 }
 
-// Decide returns what a call meets at now. A call above the rate limit meets
-// no other fault.
+// Decide returns the faults that apply to a call at now. A call above the rate
+// limit gets no other fault.
 func (i *Injector) Decide(now time.Time, call Call) Decision {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	rate, used := orDefault(i.plan.Reads, DefaultReads), &i.reads
-	if call.Operation.Write() {
-		rate, used = orDefault(i.plan.Writes, DefaultWrites), &i.writes
+	rate, window := orDefault(i.plan.Reads, DefaultReads), &i.reads
+	if call.Operation.IsWrite() {
+		rate, window = orDefault(i.plan.Writes, DefaultWrites), &i.writes
 	}
-	if !used.take(now, rate) {
+	if !window.allow(now, rate) {
 		return Decision{Limited: true}
 	}
 	var decision Decision
@@ -220,36 +228,40 @@
 	return decision
 }
 
-// Silences reports whether the connection of a call that waits is silent.
-func (i *Injector) Silences(call Call) bool {
+// Silenced reports whether the plan silences the connection of a call in flight.
+func (i *Injector) Silenced(call Call) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return slices.ContainsFunc(i.plan.Rules, func(rule Rule) bool { return rule.Kind == Silence && i.selects(rule, call) })
 }
 
+// selects reports whether a rule selects a call.
 func (i *Injector) selects(r Rule, call Call) bool {
 	return (len(r.Operations) == 0 || slices.Contains(r.Operations, call.Operation)) &&
-		(only[r.Kind] == nil || slices.Contains(only[r.Kind], call.Operation)) &&
+		(applicableOperations[r.Kind] == nil || slices.Contains(applicableOperations[r.Kind], call.Operation)) &&
 		strings.HasPrefix(call.Key, r.Prefix) &&
 		(r.Caller == "" || r.Caller == call.Caller) &&
-		(r.Share == 0 || i.place(call.Caller) < r.Share) &&
-		(r.Kind != Silence || call.Opened.Before(i.since) && !call.Opened.IsZero())
+		(r.Share == 0 || i.callerFraction(call.Caller) < r.Share) &&
+		(r.Kind != Silence || call.Opened.Before(i.setAt) && !call.Opened.IsZero())
 }
 
-// place returns a number from 0 to 1 that a caller has for good.
-func (i *Injector) place(caller string) float64 {
+// callerFraction maps a caller to a number from 0 to 1, always the same one for
+// a seed.
+func (i *Injector) callerFraction(caller string) float64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(caller)) // Never fails.
 	return rand.New(rand.NewPCG(i.seed, hash.Sum64())).Float64()
 }
 
-// window counts the calls within one second.
-type window struct {
+// rateWindow is a fixed-window rate limiter with a window of one second.
+type rateWindow struct {
 	start time.Time
 	used  int
 }
 
-func (w *window) take(now time.Time, limit int) bool {
+// allow counts a call at now and reports whether it is within limit. A negative
+// limit means no limit.
+func (w *rateWindow) allow(now time.Time, limit int) bool {
 	if now.Sub(w.start) >= time.Second || now.Before(w.start) {
 		w.start, w.used = now, 0
 	}
@@ -260,9 +272,9 @@
 	return true
 }
 
-func orDefault(set, standard int) int {
-	if set == 0 {
-		return standard
+func orDefault(value, fallback int) int {
+	if value == 0 {
+		return fallback
 	}
-	return set
+	return value
 }
--- a/objectstore/injector/injector_test.go
+++ b/objectstore/injector/injector_test.go
@@ -10,8 +10,8 @@
 	"sycamorerun"
 )
 
-// Guards against a fault that hits calls it does not select, so that an
-// experiment measures something else than it says.
+// Guards against a rule that affects calls it doesn't select, which would make an
+// experiment inject other faults than its plan describes.
 func TestDecide(t *testing.T) {
 	second := sycamorerun.Duration(time.Second)
 	put := Call{Operation: Put, Key: "log/0001", Caller: "a"}
@@ -44,7 +44,7 @@
 	}
 }
 
-// Guards against rate limits that let more calls pass than the platform's.
+// Guards against rate limits that allow more calls than the platform's store.
 func TestRates(t *testing.T) {
 	is := is.New(t)
 	i := New(1)
@@ -65,7 +65,7 @@
 	is.Equal(passed(start, Put), 3000)
 }
 
-// Guards against a mistyped plan that silently injects nothing.
+// Guards against accepting a mistyped plan that injects nothing.
 func TestVerify(t *testing.T) {
 	cases := map[string]Rule{
 		"kind":      {Kind: "refused"},
@@ -82,8 +82,8 @@
 	}
 }
 
-// Guards against an outage for some callers that hits other ones each time, or
-// all of them.
+// Guards against an outage for a share of the callers that affects different
+// callers at each call, or all of them.
 func TestShare(t *testing.T) {
 	is := is.New(t)
 	i := New(1)
--- a/objectstore/keeper/keeper.go
+++ b/objectstore/keeper/keeper.go
@@ -13,34 +13,36 @@
 	"sycamorerun/persister"
 )
 
-// Limits of the stand-in.
+// Limits of the stand-in store in bytes. MaxHistoryBytes bounds the values in the
+// history.
 const (
-	ValueBytes   = 1_000_000
-	KeyBytes     = 512
-	PageBytes    = 4 << 20
-	HistoryBytes = 64 << 20
+	MaxValueBytes   = 1_000_000
+	MaxKeyBytes     = 512
+	MaxPageBytes    = 4 << 20
+	MaxHistoryBytes = 64 << 20
 )
 
-// ErrInvalid means that the key or the value is outside the limits.
+// ErrInvalid means that a call is malformed or that its key or value exceeds the
+// limits.
 var ErrInvalid = errors.New("invalid key or value")
 
-// Keeper is the stand-in's data. Its methods may be called concurrently.
+// Keeper is the in-memory object store. Its methods may be called concurrently.
 type Keeper struct {
-	// History bounds the number of writes that watches can still see.
-	History int
-
-	mu        sync.Mutex
-	objects   map[string]persister.Object
-	revision  persister.Revision
-	history   []persister.Object
-	bytes     int
-	compacted persister.Revision
-	changed   chan struct{}
+	// MaxHistory bounds the number of past writes that a watch can return.
+	MaxHistory int
+
+	mu                sync.Mutex
+	objects           map[string]persister.Object
+	revision          persister.Revision
+	history           []persister.Object
+	historyBytes      int
+	compactedRevision persister.Revision
+	changed           chan struct{}
 }
 
-// New returns an empty keeper that remembers the last history writes.
+// New returns an empty keeper with a history of at most history writes.
 func New(history int) *Keeper {
-	return &Keeper{History: history, objects: map[string]persister.Object{}, changed: make(chan struct{})}
+	return &Keeper{MaxHistory: history, objects: map[string]persister.Object{}, changed: make(chan struct{})}
 }
 
 // Get returns the object with key, or persister.ErrMissing.
@@ -57,7 +59,7 @@
 // Put writes value when the object's revision equals expected, zero meaning
 // that it must not exist.
 func (k *Keeper) Put(key string, value []byte, expected persister.Revision) (persister.Revision, error) {
-	if key == "" || len(key) > KeyBytes || len(value) > ValueBytes {
+	if key == "" || len(key) > MaxKeyBytes || len(value) > MaxValueBytes {
 		return 0, errors.Wrapf(ErrInvalid, "key of %d bytes, value of %d bytes", len(key), len(value))
 	}
 	k.mu.Lock()
@@ -86,15 +88,16 @@
 	return nil
 }
 
-// record gives object the next revision and appends it to the history.
+// record assigns the next revision to object, appends it to the history and
+// discards the oldest writes beyond the limits. The caller holds the mutex.
 func (k *Keeper) record(object persister.Object) persister.Object {
 	k.revision++
 	object.Revision = k.revision
 	k.history = append(k.history, object)
-	k.bytes += len(object.Value)
-	for len(k.history) > k.History || k.bytes > HistoryBytes {
-		k.compacted = k.history[0].Revision
-		k.bytes -= len(k.history[0].Value)
+	k.historyBytes += len(object.Value)
+	for len(k.history) > k.MaxHistory || k.historyBytes > MaxHistoryBytes {
+		k.compactedRevision = k.history[0].Revision
+		k.historyBytes -= len(k.history[0].Value)
 		k.history[0] = persister.Object{}
 		k.history = k.history[1:]
 	}
@@ -103,16 +106,17 @@
 	return object
 }
 
-// Forget discards the history.
-func (k *Keeper) Forget() {
+// Compact discards the history, so that watches after an older revision fail with
+// persister.ErrCompacted.
+func (k *Keeper) Compact() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.history, k.bytes, k.compacted = nil, 0, k.revision
+	k.history, k.historyBytes, k.compactedRevision = nil, 0, k.revision
 }
 
-// List returns one page of the objects under prefix above after, in the order
-// of their revisions. The listing's revision is the store's, or that of the
-// last object when the page is full and more follow.
+// List returns one page of the objects under prefix with a revision above after,
+// ordered by revision. The listing's revision is the store's, or that of the last
+// object when more pages follow.
 func (k *Keeper) List(prefix string, after persister.Revision) (listing persister.Listing, more bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -125,15 +129,15 @@
 	slices.SortFunc(found, func(a, b persister.Object) int {
 		return int(int64(a.Revision) - int64(b.Revision))
 	})
-	return page(found, k.revision, false)
+	return firstPage(found, k.revision, false)
 }
 
-// Watch waits for writes under prefix above after and returns them in order.
-// It returns an empty listing when ctx ends first, and persister.ErrCompacted
-// when the history does not reach back to after.
+// Watch waits for writes under prefix with a revision above after and returns
+// them in order. It returns an empty listing when ctx ends first, and
+// persister.ErrCompacted when the history does not reach back to after.
 func (k *Keeper) Watch(ctx context.Context, prefix string, after persister.Revision, keysOnly bool) (persister.Listing, error) {
 	for {
-		listing, changed, err := k.since(prefix, after, keysOnly)
+		listing, changed, err := k.writesAfter(prefix, after, keysOnly)
 		if err != nil || len(listing.Objects) > 0 {
 			return listing, err
 		}
@@ -145,12 +149,14 @@
 	}
 }
 
-func (k *Keeper) since(prefix string, after persister.Revision, keysOnly bool) (persister.Listing, <-chan struct{}, error) {
+// writesAfter returns the writes under prefix with a revision above after, and a
+// channel that is closed at the next write.
+func (k *Keeper) writesAfter(prefix string, after persister.Revision, keysOnly bool) (persister.Listing, <-chan struct{}, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	// A revision above the store's own comes from before a restart of the
-	// stand-in, whose data is lost: the watcher has to list again.
-	if after < k.compacted || after > k.revision {
+	// A revision above the store's own was issued before a restart of the stand-in,
+	// which lost its data. The watcher has to list again.
+	if after < k.compactedRevision || after > k.revision {
 		return persister.Listing{}, nil, persister.ErrCompacted
 	}
 	first, _ := slices.BinarySearchFunc(k.history, after+1, func(object persister.Object, revision persister.Revision) int {
@@ -162,16 +168,16 @@
 			found = append(found, object)
 		}
 	}
-	listing, _ := page(found, k.revision, keysOnly)
+	listing, _ := firstPage(found, k.revision, keysOnly)
 	return listing, k.changed, nil
 }
 
-// Clone returns a copy of the present state with an empty history.
+// Clone returns a copy of the current state with an empty history.
 func (k *Keeper) Clone() *Keeper {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	clone := New(k.History)
-	clone.revision, clone.compacted = k.revision, k.revision
+	clone := New(k.MaxHistory)
+	clone.revision, clone.compactedRevision = k.revision, k.revision
 	for key, object := range k.objects {
 		clone.objects[key] = object
 	}
@@ -185,17 +191,18 @@
 	return len(k.objects), k.revision
 }
 
-// page cuts found, which is in the order of revisions, at PageBytes.
-func page(found []persister.Object, revision persister.Revision, keysOnly bool) (persister.Listing, bool) {
+// firstPage returns the first objects, up to MaxPageBytes, and whether more
+// follow. The objects are ordered by revision.
+func firstPage(objects []persister.Object, revision persister.Revision, keysOnly bool) (persister.Listing, bool) {
 	size := 0
-	for i := range found {
+	for i := range objects {
 		if keysOnly {
-			found[i].Value = nil
+			objects[i].Value = nil
 		}
-		size += len(found[i].Key) + len(found[i].Value)
-		if size > PageBytes && i > 0 {
-			return persister.Listing{Objects: found[:i], Revision: found[i-1].Revision}, true
+		size += len(objects[i].Key) + len(objects[i].Value)
+		if size > MaxPageBytes && i > 0 {
+			return persister.Listing{Objects: objects[:i], Revision: objects[i-1].Revision}, true
 		}
 	}
-	return persister.Listing{Objects: found, Revision: revision}, false
+	return persister.Listing{Objects: objects, Revision: revision}, false
 }
--- a/objectstore/keeper/keeper_test.go
+++ b/objectstore/keeper/keeper_test.go
@@ -11,7 +11,8 @@
 	"sycamorerun/persister"
 )
 
-// Guards against a conditional write that takes effect on a wrong revision.
+// Guards against a conditional write that takes effect although the revision
+// doesn't match.
 func TestConditionalWrites(t *testing.T) {
 	cases := map[string]struct {
 		call func(k *Keeper) error
@@ -24,8 +25,8 @@
 		"delete":            {func(k *Keeper) error { return k.Delete("log/0001", 1) }, nil},
 		"delete stale":      {func(k *Keeper) error { return k.Delete("log/0001", 2) }, persister.ErrConflict},
 		"delete missing":    {func(k *Keeper) error { return k.Delete("other", 0) }, persister.ErrMissing},
-		"value at limit":    {func(k *Keeper) error { _, err := k.Put("v", make([]byte, ValueBytes), 0); return err }, nil},
-		"value above limit": {func(k *Keeper) error { _, err := k.Put("v", make([]byte, ValueBytes+1), 0); return err }, ErrInvalid},
+		"value at limit":    {func(k *Keeper) error { _, err := k.Put("v", make([]byte, MaxValueBytes), 0); return err }, nil},
+		"value above limit": {func(k *Keeper) error { _, err := k.Put("v", make([]byte, MaxValueBytes+1), 0); return err }, ErrInvalid},
 		"empty key":         {func(k *Keeper) error { return put(k, "", 0) }, ErrInvalid},
 	}
 	for name, test := range cases {
@@ -37,13 +38,13 @@
 			err := test.call(k)
 			is.True(errors.Is(err, test.want))
 			_, after := k.Size()
-			is.Equal(after == before, test.want != nil) // a refused write takes no revision
+			is.Equal(after == before, test.want != nil) // a rejected write uses no revision
 		})
 	}
 }
 
-// Guards against a watch that misses, repeats or reorders writes, and against
-// one that hides that its history is gone.
+// Guards against a watch that misses, repeats or reorders writes, or doesn't
+// report that its history was discarded.
 func TestWatch(t *testing.T) {
 	cases := map[string]struct {
 		after persister.Revision
@@ -80,7 +81,7 @@
 	}
 }
 
-// Guards against a waiting watch that is not woken by a write.
+// Guards against a waiting watch that a write doesn't wake up.
 func TestWatchWakes(t *testing.T) {
 	is := is.New(t)
 	k := New(4)
@@ -96,7 +97,7 @@
 	is := is.New(t)
 	k := New(16)
 	for _, key := range []string{"a", "b", "c", "d", "e", "f"} {
-		_, err := k.Put(key, make([]byte, ValueBytes), 0)
+		_, err := k.Put(key, make([]byte, MaxValueBytes), 0)
 		is.NoErr(err)
 	}
 	first, more := k.List("", 0)
--- a/objectstore/server/link.go
+++ b/objectstore/server/link.go
@@ -13,84 +13,86 @@
 	"sycamorerun/objectstore/injector"
 )
 
-// link is a caller's connection.
-type link struct {
+// connection is the state of a caller's connection.
+type connection struct {
 	opened time.Time
 	silent atomic.Bool
 }
 
-// linkKey is the key of a link in the context of its calls.
-type linkKey struct{}
+// connectionKey is the context key of a call's connection.
+type connectionKey struct{}
 
-// Connect is the ConnContext of the HTTP server; without it no call meets
-// injector.Silence.
-func Connect(ctx context.Context, _ net.Conn) context.Context {
-	return context.WithValue(ctx, linkKey{}, &link{opened: time.Now()})
+// ConnContext must be set as ConnContext of the HTTP server. Without it,
+// injector.Silence affects no call.
+func ConnContext(ctx context.Context, _ net.Conn) context.Context {
+	return context.WithValue(ctx, connectionKey{}, &connection{opened: time.Now()})
 }
 
-// linkOf returns the connection of a call.
-func linkOf(r *http.Request) *link {
-	if known, ok := r.Context().Value(linkKey{}).(*link); ok {
-		return known
+// connectionOf returns the connection of a call, or a new one when ConnContext
+// is not set.
+func connectionOf(r *http.Request) *connection {
+	if conn, ok := r.Context().Value(connectionKey{}).(*connection); ok {
+		return conn
 	}
-	return &link{}
+	return &connection{}
 }
 
-// calls are those in progress, with their connections.
-type calls struct {
-	mu   sync.Mutex
-	next uint64
-	by   map[uint64]waiting
+// inFlightCalls tracks the calls in flight and their connections.
+type inFlightCalls struct {
+	mu     sync.Mutex
+	lastID uint64
+	byID   map[uint64]inFlightCall
 }
 
-type waiting struct {
+type inFlightCall struct {
 	call injector.Call
-	link *link
+	conn *connection
 }
 
-// add returns the function that ends the call.
-func (c *calls) add(call injector.Call, link *link) func() {
+// add registers a call and returns the function that removes it.
+func (c *inFlightCalls) add(call injector.Call, conn *connection) func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	number := c.next
-	if c.by == nil {
-		c.by = map[uint64]waiting{}
+	c.lastID++
+	id := c.lastID
+	if c.byID == nil {
+		c.byID = map[uint64]inFlightCall{}
 	}
-	c.by[number] = waiting{call, link}
+	c.byID[id] = inFlightCall{call, conn}
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.by, number)
+		delete(c.byID, id)
 	}
 }
 
-// silence marks the connections of waiting calls that are selected, which
-// would outlast the plan of faults otherwise.
-func (c *calls) silence(selected func(injector.Call) bool) {
+// silence marks the connections of the selected calls in flight as silent.
+// Otherwise such a call could outlast the plan and be answered.
+func (c *inFlightCalls) silence(selected func(injector.Call) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range c.by {
-		if selected(w.call) {
-			w.link.silent.Store(true)
+	for _, inFlight := range c.byID {
+		if selected(inFlight.call) {
+			inFlight.conn.silent.Store(true)
 		}
 	}
 }
 
-// hold keeps a call until its caller gives up.
-func hold(r *http.Request) {
-	// The server notices that the caller gave up only once the body is read.
+// waitForDisconnect blocks until the caller gives up.
+func waitForDisconnect(r *http.Request) {
+	// The server detects a closed connection only after the body has been read.
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-// performLate cuts the connection and lets the effect follow.
-func (s *Server) performLate(r *http.Request, after time.Duration, perform func(*http.Request) (any, error)) {
+// performDetached closes the connection without an answer and executes the call
+// after delay.
+func (s *Server) performDetached(r *http.Request, delay time.Duration, perform func(*http.Request) (any, error)) {
 	body, err := io.ReadAll(r.Body)
 	if err == nil {
-		later := r.Clone(context.WithoutCancel(r.Context()))
-		later.Body = io.NopCloser(bytes.NewReader(body))
-		time.AfterFunc(after, func() { _, _ = perform(later) }) // Nobody is told.
+		detached := r.Clone(context.WithoutCancel(r.Context()))
+		detached.Body = io.NopCloser(bytes.NewReader(body))
+		time.AfterFunc(delay, func() { _, _ = perform(detached) }) // The caller is gone, so the result is discarded.
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/objectstore/server/server.go
+++ b/objectstore/server/server.go
@@ -1,4 +1,4 @@
-// Package server offers the stand-in store over HTTP with JSON bodies.
+// Package server serves the stand-in store over HTTP with JSON bodies.
 //
 //	GET    /object?key=              object
 //	PUT    /object?key=&expected=    {"value": base64} -> {"revision"}
@@ -8,8 +8,8 @@
 //	GET, PUT /faults                 injector.Plan
 //	GET    /stats                    Stats
 //
-// 404 missing, 409 conflict, 410 history gone, 400 and 413 invalid. 429 and
-// 503 promise that the call had no effect.
+// Status 404 means missing, 409 conflict, 410 history discarded, 400 and 413
+// invalid. Status 429 and 503 guarantee that the call was not executed.
 package server
 
 import (
@@ -33,28 +33,29 @@
 
 const (
 	maxWait = time.Minute
-	// bodyBytes holds a value at its limit in base64 and the JSON around it.
-	bodyBytes = keeper.ValueBytes*4/3 + 1024
+	// maxBodyBytes fits a value of the maximum size in base64 and the JSON around
+	// it.
+	maxBodyBytes = keeper.MaxValueBytes*4/3 + 1024
 )
 
-// Server is the HTTP handler of the stand-in.
+// Server is the HTTP handler of the stand-in store.
 type Server struct {
 	Keeper   *keeper.Keeper
 	Injector *injector.Injector
 	Now      func() time.Time
 	Logger   log.Logger
 
-	frozen atomic.Pointer[keeper.Keeper]
-	usages usages
-	mux    *http.ServeMux
-	calls  calls
+	snapshot atomic.Pointer[keeper.Keeper]
+	usages   usageTable
+	mux      *http.ServeMux
+	inFlight inFlightCalls
 }
 
-// New returns a server for the keeper's objects.
+// New returns a server for the objects of k with the faults of i.
 func New(k *keeper.Keeper, i *injector.Injector) *Server {
 	s := &Server{
 		Keeper: k, Injector: i, Now: time.Now, Logger: log.NewNopLogger(),
-		usages: usages{by: map[string]*Usage{}}, mux: http.NewServeMux(),
+		usages: usageTable{byCaller: map[string]*Usage{}}, mux: http.NewServeMux(),
 	}
 	s.mux.HandleFunc("GET /object", s.handle(injector.Get, "key", s.get))
 	s.mux.HandleFunc("PUT /object", s.handle(injector.Put, "key", s.put))
@@ -67,46 +68,47 @@
 	return s
 }
 
-// ServeHTTP serves the store and its control calls.
+// ServeHTTP serves the calls of the store, the fault plan and the statistics.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFaults replaces the plan of faults. Stale answers come from the state at
-// this moment.
+// SetFaults replaces the fault plan. If the plan has a stale rule, stale answers
+// come from the state at the time of this call.
 func (s *Server) SetFaults(plan injector.Plan) error {
-	var frozen *keeper.Keeper
+	var snapshot *keeper.Keeper
 	for _, rule := range plan.Rules {
 		if rule.Kind == injector.Stale {
-			frozen = s.Keeper.Clone()
+			snapshot = s.Keeper.Clone()
 		}
 	}
 	if err := s.Injector.Set(s.Now(), plan); err != nil {
 		return err
 	}
-	s.calls.silence(s.Injector.Silences)
-	s.frozen.Store(frozen)
+	s.inFlight.silence(s.Injector.Silenced)
+	s.snapshot.Store(snapshot)
 	_ = level.Info(s.Logger).Log("msg", "fault plan replaced", "rules", len(plan.Rules), "reads", plan.Reads, "writes", plan.Writes)
 	return nil
 }
 
-// request is a call after its faults before the effect.
+// request is a call to be executed. The source is the keeper that answers reads:
+// the current one, or the snapshot if stale is set.
 type request struct {
 	*http.Request
 	key      string
 	revision persister.Revision
-	from     *keeper.Keeper
+	source   *keeper.Keeper
 	stale    bool
 }
 
-type page struct {
+type listPage struct {
 	persister.Listing
 	More bool `json:"more,omitempty"`
 }
 
-func (s *Server) get(r request) (any, error) { return r.from.Get(r.key) }
+func (s *Server) get(r request) (any, error) { return r.source.Get(r.key) }
 
 func (s *Server) list(r request) (any, error) {
-	listing, more := r.from.List(r.key, r.revision)
-	return page{listing, more}, nil
+	listing, more := r.source.List(r.key, r.revision)
+	return listPage{listing, more}, nil
 }
 
 func (s *Server) put(r request) (any, error) {
@@ -135,7 +137,7 @@
 	if err != nil {
 		return nil, errors.Wrap(keeper.ErrInvalid, "keys")
 	}
-	caller := caller(r.Request)
+	caller := callerName(r.Request)
 	s.usages.add(caller, func(u *Usage) { u.Watches++ })
 	defer s.usages.add(caller, func(u *Usage) { u.Watches-- })
 	ctx, cancel := context.WithTimeout(r.Context(), min(wait, maxWait))
@@ -147,69 +149,70 @@
 	return s.Keeper.Watch(ctx, r.key, r.revision, keysOnly)
 }
 
-// handle wraps a call of the store with its faults, limits and statistics.
-func (s *Server) handle(operation injector.Operation, key string, call func(request) (any, error)) http.HandlerFunc {
+// handle returns the handler of an operation. It applies faults and rate limits
+// and counts the call. The query parameter has the key or the prefix.
+func (s *Server) handle(operation injector.Operation, parameter string, operate func(request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		who, link := caller(r), linkOf(r)
-		made := injector.Call{Operation: operation, Key: r.URL.Query().Get(key), Caller: who, Opened: link.opened}
-		decision := s.Injector.Decide(s.Now(), made)
-		defer s.calls.add(made, link)()
-		received := &counter{ReadCloser: http.MaxBytesReader(w, r.Body, bodyBytes)}
+		caller, conn := callerName(r), connectionOf(r)
+		attributes := injector.Call{Operation: operation, Key: r.URL.Query().Get(parameter), Caller: caller, Opened: conn.opened}
+		decision := s.Injector.Decide(s.Now(), attributes)
+		defer s.inFlight.add(attributes, conn)()
+		received := &countingReader{ReadCloser: http.MaxBytesReader(w, r.Body, maxBodyBytes)}
 		r.Body = received
-		defer func() { s.usages.add(who, func(u *Usage) { u.Received += received.n }) }()
-		s.usages.add(who, func(u *Usage) { u.count(operation, decision.Limited) })
+		defer func() { s.usages.add(caller, func(u *Usage) { u.Received += received.n }) }()
+		s.usages.add(caller, func(u *Usage) { u.count(operation, decision.Limited) })
 		if decision.Silence {
-			link.silent.Store(true)
+			conn.silent.Store(true)
 		}
-		if link.silent.Load() {
-			hold(r)
+		if conn.silent.Load() {
+			waitForDisconnect(r)
 			return
 		}
-		if !s.before(w, r, who, decision) {
+		if !s.applyFaults(w, r, caller, decision) {
 			return
 		}
-		from, stale := s.Keeper, false
-		if frozen := s.frozen.Load(); decision.Stale && frozen != nil {
-			from, stale = frozen, true
+		source, stale := s.Keeper, false
+		if snapshot := s.snapshot.Load(); decision.Stale && snapshot != nil {
+			source, stale = snapshot, true
 		}
 		perform := func(r *http.Request) (any, error) {
 			revision, err := revision(r)
 			if err != nil {
 				return nil, err
 			}
-			return call(request{Request: r, key: made.Key, revision: revision, from: from, stale: stale})
+			return operate(request{Request: r, key: attributes.Key, revision: revision, source: source, stale: stale})
 		}
 		if decision.Late > 0 {
-			s.performLate(r, decision.Late, perform)
+			s.performDetached(r, decision.Late, perform)
 		}
 		result, err := perform(r)
 		switch {
 		case decision.Lose:
-			// Aborts the connection without an answer.
+			// Closes the connection without an answer.
 			panic(http.ErrAbortHandler)
-		case decision.Mute || link.silent.Load():
-			hold(r)
+		case decision.Mute || conn.silent.Load():
+			waitForDisconnect(r)
 		case err != nil:
-			s.fail(w, who, err)
+			s.writeError(w, caller, err)
 		default:
-			s.answer(w, who, http.StatusOK, result)
+			s.writeJSON(w, caller, http.StatusOK, result)
 		}
 	}
 }
 
-// before applies the faults that precede the effect and reports whether the
-// call goes on.
-func (s *Server) before(w http.ResponseWriter, r *http.Request, who string, decision injector.Decision) bool {
+// applyFaults applies the faults that precede the execution and reports whether
+// the call is to be executed.
+func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request, caller string, decision injector.Decision) bool {
 	switch {
 	case decision.Limited:
-		s.answer(w, who, http.StatusTooManyRequests, problem{"rate limit"})
+		s.writeJSON(w, caller, http.StatusTooManyRequests, errorBody{"rate limit"})
 		return false
 	case decision.Stall:
-		hold(r)
+		waitForDisconnect(r)
 		return false
 	case decision.Forget:
-		s.Keeper.Forget()
-		s.fail(w, who, persister.ErrCompacted)
+		s.Keeper.Compact()
+		s.writeError(w, caller, persister.ErrCompacted)
 		return false
 	}
 	if decision.Delay > 0 {
@@ -218,7 +221,7 @@
 		<-timer.C
 	}
 	if decision.Refuse {
-		s.answer(w, who, http.StatusServiceUnavailable, problem{"refused"})
+		s.writeJSON(w, caller, http.StatusServiceUnavailable, errorBody{"refused"})
 		return false
 	}
 	return true
@@ -228,33 +231,33 @@
 	switch {
 	case limited:
 		u.Limited++
-	case operation.Write():
+	case operation.IsWrite():
 		u.Writes++
 	default:
 		u.Reads++
 	}
 }
 
-type problem struct {
+type errorBody struct {
 	Error string `json:"error"`
 }
 
-func (s *Server) fail(w http.ResponseWriter, who string, err error) {
+func (s *Server) writeError(w http.ResponseWriter, caller string, err error) {
 	status := http.StatusInternalServerError
-	for target, known := range map[error]int{
+	for target, mapped := range map[error]int{
 		persister.ErrMissing:   http.StatusNotFound,
 		persister.ErrConflict:  http.StatusConflict,
 		persister.ErrCompacted: http.StatusGone,
 		keeper.ErrInvalid:      http.StatusBadRequest,
 	} {
 		if errors.Is(err, target) {
-			status = known
+			status = mapped
 		}
 	}
-	s.answer(w, who, status, problem{err.Error()})
+	s.writeJSON(w, caller, status, errorBody{err.Error()})
 }
 
-func (s *Server) answer(w http.ResponseWriter, who string, status int, body any) {
+func (s *Server) writeJSON(w http.ResponseWriter, caller string, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		status, data = http.StatusInternalServerError, nil
@@ -263,7 +266,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
 	n, _ := w.Write(data)
-	s.usages.add(who, func(u *Usage) { u.Sent += int64(n) })
+	s.usages.add(caller, func(u *Usage) { u.Sent += int64(n) })
 }
 
 func (s *Server) faults(w http.ResponseWriter, _ *http.Request) {
@@ -272,7 +275,7 @@
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
 	var plan injector.Plan
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyBytes))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(&plan)
 	if err == nil {
@@ -290,8 +293,8 @@
 	_ = json.NewEncoder(w).Encode(stats)
 }
 
-// revision reads the revision of a call, "expected" for writes and "after"
-// for lists and watches; a get has none.
+// revision returns the revision of a call, which is the parameter "expected" of
+// writes or "after" of lists and watches. A get has none.
 func revision(r *http.Request) (persister.Revision, error) {
 	text := r.URL.Query().Get("expected") + r.URL.Query().Get("after")
 	if text == "" && r.Method == http.MethodGet {
@@ -304,7 +307,9 @@
 	return persister.Revision(n), nil
 }
 
-func caller(r *http.Request) string {
+// callerName returns the name in the caller header, or the host of the remote
+// address.
+func callerName(r *http.Request) string {
 	if name := r.Header.Get(persister.HeaderCaller); name != "" {
 		return name
 	}
@@ -315,13 +320,13 @@
 	return host
 }
 
-// counter counts the bytes of a request body.
-type counter struct {
+// countingReader counts the bytes of a request body.
+type countingReader struct {
 	io.ReadCloser
 	n int64
 }
 
-func (c *counter) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.ReadCloser.Read(p)
 	c.n += int64(n)
 	return n, err
--- a/objectstore/server/server_test.go
+++ b/objectstore/server/server_test.go
@@ -21,7 +21,7 @@
 func start(t *testing.T, timeout time.Duration) (string, persister.Store) {
 	t.Helper()
 	h := httptest.NewUnstartedServer(New(keeper.New(64), injector.New(1)))
-	h.Config.ConnContext = Connect
+	h.Config.ConnContext = ConnContext
 	h.Start()
 	t.Cleanup(h.Close)
 	return h.URL, persister.NewClient(persister.ClientConfig{
@@ -44,7 +44,7 @@
 	return response.StatusCode
 }
 
-// Guards against a client and a stand-in that disagree on the protocol.
+// Guards against persister's client and the stand-in disagreeing on the protocol.
 func TestStoreOverHTTP(t *testing.T) {
 	is := is.New(t)
 	_, store := start(t, time.Minute)
@@ -57,9 +57,9 @@
 	object, err := store.Get(ctx, key)
 	is.NoErr(err)
 	is.Equal(object, persister.Object{Key: key, Value: []byte{0, 255}, Revision: first})
-	second, err := store.Put(ctx, key, make([]byte, keeper.ValueBytes), first)
+	second, err := store.Put(ctx, key, make([]byte, keeper.MaxValueBytes), first)
 	is.NoErr(err)
-	_, err = store.Put(ctx, key, make([]byte, keeper.ValueBytes+1), second)
+	_, err = store.Put(ctx, key, make([]byte, keeper.MaxValueBytes+1), second)
 	is.True(errors.Is(err, persister.ErrInvalid))
 	listing, err := store.List(ctx, "log/", first)
 	is.NoErr(err)
@@ -78,8 +78,8 @@
 	is.True(errors.Is(err, persister.ErrMissing))
 }
 
-// Guards against an injected fault whose answer or effect is not the one that
-// the acceptor is tested against.
+// Guards against an injected fault whose answer or effect differs from its
+// definition, on which the acceptor's tests rely.
 func TestFaults(t *testing.T) {
 	cases := map[string]struct {
 		plan     string
@@ -117,7 +117,7 @@
 				is.Equal(string(object.Value), test.value)
 			}
 			is.Equal(setFaults(t, url, `{"reads":-1,"writes":-1}`), http.StatusOK)
-			time.Sleep(800 * time.Millisecond) // above the longest delay after the timeout
+			time.Sleep(800 * time.Millisecond) // longer than any delay that outlasts the timeout
 			object, err = store.Get(t.Context(), "k")
 			is.NoErr(err)
 			is.Equal(object.Revision == 2, test.effect)
@@ -125,7 +125,7 @@
 	}
 }
 
-// Guards against a mistyped plan that is taken as "no faults".
+// Guards against accepting a mistyped plan as a plan without faults.
 func TestFaultsRefused(t *testing.T) {
 	url, _ := start(t, time.Minute)
 	for name, plan := range map[string]string{
@@ -137,7 +137,7 @@
 	}
 }
 
-// Guards against statistics that lose a caller's calls or count them twice.
+// Guards against statistics that miss a caller's calls or count them twice.
 func TestStats(t *testing.T) {
 	is := is.New(t)
 	url, store := start(t, time.Minute)
@@ -159,8 +159,8 @@
 	is.True(usage.Received > 0 && usage.Sent > 0)
 }
 
-// Guards against a watch that survives the silence of its connection, and
-// against one that goes on without the discarded history.
+// Guards against a watch that is answered on a silenced connection, and against
+// one that succeeds after its history was discarded.
 func TestWatchFaults(t *testing.T) {
 	is := is.New(t)
 	url, store := start(t, 300*time.Millisecond)
@@ -170,7 +170,7 @@
 	_, err = store.Watch(t.Context(), "k", 0, false)
 	is.True(errors.Is(err, persister.ErrCompacted))
 	_, err = store.Watch(t.Context(), "k", 0, false)
-	is.True(errors.Is(err, persister.ErrCompacted)) // The history is gone for good.
+	is.True(errors.Is(err, persister.ErrCompacted)) // The history stays discarded.
 
 	waited := make(chan error, 1)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/objectstore/server/stats.go
+++ b/objectstore/server/stats.go
@@ -2,11 +2,12 @@
 
 import "sync"
 
-// callers bounds the number of callers with their own statistics; further
+// maxCallers bounds the number of callers with statistics of their own. Further
 // callers are counted together under the empty name.
-const callers = 16 << 10
+const maxCallers = 16 << 10
 
-// Usage counts the calls of one caller. Bytes are those of the bodies.
+// Usage counts the calls of one caller. Received and Sent count the bytes of the
+// bodies, Watches is the number of watches in progress.
 type Usage struct {
 	Reads    int64 `json:"reads"`
 	Writes   int64 `json:"writes"`
@@ -24,33 +25,34 @@
 	Callers  map[string]Usage `json:"callers"`
 }
 
-type usages struct {
-	mu    sync.Mutex
-	total Usage
-	by    map[string]*Usage
+// usageTable has the usage of each caller and of all.
+type usageTable struct {
+	mu       sync.Mutex
+	total    Usage
+	byCaller map[string]*Usage
 }
 
-func (u *usages) add(caller string, change func(*Usage)) {
+func (u *usageTable) add(caller string, update func(*Usage)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	usage, ok := u.by[caller]
-	if !ok && len(u.by) >= callers {
+	usage, ok := u.byCaller[caller]
+	if !ok && len(u.byCaller) >= maxCallers {
 		caller = ""
-		usage, ok = u.by[caller]
+		usage, ok = u.byCaller[caller]
 	}
 	if !ok {
 		usage = &Usage{}
-		u.by[caller] = usage
+		u.byCaller[caller] = usage
 	}
-	change(usage)
-	change(&u.total)
+	update(usage)
+	update(&u.total)
 }
 
-func (u *usages) stats() Stats {
+func (u *usageTable) stats() Stats {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	stats := Stats{Total: u.total, Callers: make(map[string]Usage, len(u.by))}
-	for caller, usage := range u.by {
+	stats := Stats{Total: u.total, Callers: make(map[string]Usage, len(u.byCaller))}
+	for caller, usage := range u.byCaller {
 		stats.Callers[caller] = *usage
 	}
 	return stats
