--- a/upstream/announcer/announcer.go
+++ b/upstream/announcer/announcer.go
@@ -1,4 +1,4 @@
-// Package announcer tells the node beside an upstream what the upstream is.
+// Package announcer announces an upstream to the node beside it.
 package announcer
 
 import (
@@ -20,10 +20,10 @@
 const Interval = time.Second
 
 const (
-	// retry is the time to the next try while the node does not answer; the
-	// node often starts at the same time as the upstream.
-	retry   = 200 * time.Millisecond
-	timeout = 2 * time.Second
+	// retryInterval is the time between announcements while they fail. It is short,
+	// since the node often starts at the same time as the upstream.
+	retryInterval   = 200 * time.Millisecond
+	announceTimeout = 2 * time.Second
 )
 
 // Announcement is the body of PUT /v1/announcement.
@@ -34,17 +34,18 @@
 	Slots   int               `json:"slots"`
 }
 
-// Announcer repeats the announcement. Set the fields before Run.
+// Announcer sends announcements periodically. Set the fields before Run.
 type Announcer struct {
-	// Node is the node's operators' address.
-	Node    netip.AddrPort
+	// Node is the operators' address of the node.
+	Node netip.AddrPort
+	// Current returns the announcement to send.
 	Current func() Announcement
-	// Confirmed, if set, is called with each state that the node confirmed.
-	Confirmed func(state sycamorerun.State)
-	Logger    log.Logger
+	// OnConfirmed, if set, is called with each state that the node confirms.
+	OnConfirmed func(state sycamorerun.State)
+	Logger      log.Logger
 }
 
-// Run announces until ctx ends.
+// Run sends announcements until ctx ends.
 func (a *Announcer) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -65,12 +66,12 @@
 		failing = err != nil
 		timer.Reset(Interval)
 		if failing {
-			timer.Reset(retry)
+			timer.Reset(retryInterval)
 		}
 	}
 }
 
-// Leave announces once that the upstream is gone.
+// Leave announces that the upstream has left, without retries.
 func (a *Announcer) Leave(ctx context.Context) error {
 	announcement := a.Current()
 	announcement.State = sycamorerun.StateLeft
@@ -82,24 +83,24 @@
 	if err != nil {
 		return errors.Wrap(err, "encode announcement")
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	url := "http://" + a.Node.String() + "/v1/announcement"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "announce")
+		return errors.Wrap(err, "create announcement request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "announce")
+		return errors.Wrap(err, "send announcement")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusNoContent {
-		return errors.Errorf("announce: status %d", response.StatusCode)
+		return errors.Errorf("announcement rejected with status %d", response.StatusCode)
 	}
-	if a.Confirmed != nil {
-		a.Confirmed(announcement.State)
+	if a.OnConfirmed != nil {
+		a.OnConfirmed(announcement.State)
 	}
 	return nil
 }
--- a/upstream/cmd/srupstream/main.go
+++ b/upstream/cmd/srupstream/main.go
@@ -1,4 +1,4 @@
-// Command srupstream is a stand-in upstream for tests, demos and measurements.
+// Command srupstream runs a stand-in upstream for tests, demos and measurements.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	"sycamorerun/upstream/server"
 )
 
-const stopLimit = 10 * time.Second
+const shutdownTimeout = 10 * time.Second
 
 type settings struct {
 	name        string
@@ -45,98 +45,98 @@
 }
 
 func main() {
-	var s settings
-	l := loader.New("srupstream")
-	loader.Add(l, &s.name, "name", "upstream", loader.Name(), "name of the upstream")
-	loader.Add(l, &s.service, "service", "quote-desk", loader.Name(), "service that it belongs to")
-	loader.Add(l, &s.listen, "listen", "127.0.0.1:9000", loader.Address(), "address for calls")
-	loader.Add(l, &s.control, "control", "127.0.0.1:9100", loader.Address(), "address for tests to steer it")
-	loader.Add(l, &s.node, "node", "127.0.0.1:7070", loader.Address(), "operators' address of the node beside it")
-	loader.Add(l, &s.callers, "callers", "", loader.OptionalAddress(), "address for callers of the node beside it, for the next calls of chains")
-	loader.Add(l, &s.journal, "journal", "", loader.Text("a file, or nothing"), "file to which runs and uploads are appended")
-	loader.Add(l, &s.slots, "slots", "6", loader.Int(1, 1024), "requests run at once")
-	loader.Add(l, &s.queue, "queue", "0", loader.Int(0, 1024), "requests that wait for a slot")
-	loader.Add(l, &s.connections, "connections", "130", loader.Int(1, 65535), "open connections at once")
-	loader.Add(l, &s.connect, "connect", "0s", loader.Duration(0, time.Second), "time that each new connection takes")
-	loader.Add(l, &s.probe, "probe", "0s", loader.Duration(0, time.Second), "time that each health probe takes")
-	loader.Add(l, &s.work, "work", "0s", loader.Duration(0, time.Minute), "time that each request takes")
-	loader.Add(l, &s.cold, "cold", "0s", loader.Duration(0, 10*time.Minute), "time to announce itself as cold after the start")
-	loader.Add(l, &s.slowdown, "slowdown", "1", loader.Int(1, 100), "factor of the work's time at the start, which falls to 1 while cold")
-	loader.Add(l, &s.level, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "least level logged")
-	proceed, code := l.Start(os.Args[1:], os.LookupEnv, loader.Streams{Out: os.Stdout, Err: os.Stderr})
-	if !proceed {
+	var cfg settings
+	flags := loader.New("srupstream")
+	loader.Add(flags, &cfg.name, "name", "upstream", loader.Name(), "name of the upstream")
+	loader.Add(flags, &cfg.service, "service", "quote-desk", loader.Name(), "service that it belongs to")
+	loader.Add(flags, &cfg.listen, "listen", "127.0.0.1:9000", loader.Address(), "address for calls")
+	loader.Add(flags, &cfg.control, "control", "127.0.0.1:9100", loader.Address(), "address for tests to steer it")
+	loader.Add(flags, &cfg.node, "node", "127.0.0.1:7070", loader.Address(), "operators' address of the node beside it")
+	loader.Add(flags, &cfg.callers, "callers", "", loader.OptionalAddress(), "address for callers of the node beside it, for the next calls of chains")
+	loader.Add(flags, &cfg.journal, "journal", "", loader.Text("a file, or nothing"), "file to which runs and uploads are appended")
+	loader.Add(flags, &cfg.slots, "slots", "6", loader.Int(1, 1024), "requests run at once")
+	loader.Add(flags, &cfg.queue, "queue", "0", loader.Int(0, 1024), "requests that wait for a slot")
+	loader.Add(flags, &cfg.connections, "connections", "130", loader.Int(1, 65535), "open connections at once")
+	loader.Add(flags, &cfg.connect, "connect", "0s", loader.Duration(0, time.Second), "time that each new connection takes")
+	loader.Add(flags, &cfg.probe, "probe", "0s", loader.Duration(0, time.Second), "time that each health probe takes")
+	loader.Add(flags, &cfg.work, "work", "0s", loader.Duration(0, time.Minute), "time that each request takes")
+	loader.Add(flags, &cfg.cold, "cold", "0s", loader.Duration(0, 10*time.Minute), "time to announce itself as cold after the start")
+	loader.Add(flags, &cfg.slowdown, "slowdown", "1", loader.Int(1, 100), "factor of the work's time at the start, which falls to 1 while cold")
+	loader.Add(flags, &cfg.level, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "least level logged")
+	ok, code := flags.Start(os.Args[1:], os.LookupEnv, loader.Streams{Out: os.Stdout, Err: os.Stderr})
+	if !ok {
 		os.Exit(code)
 	}
-	if err := run(s); err != nil {
+	if err := run(cfg); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(s settings) error {
-	events := logger.New(os.Stderr, s.level, "upstream", s.name)
+func run(cfg settings) error {
+	logs := logger.New(os.Stderr, cfg.level, "upstream", cfg.name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 
 	started := time.Now()
 	upstream := &server.Server{
-		Name: s.name, Service: s.service, Slots: s.slots, Queue: s.queue, Work: s.work, Probe: s.probe,
-		Slowdown: float64(s.slowdown), Started: started, Cold: s.cold,
+		Name: cfg.name, Service: cfg.service, Slots: cfg.slots, Queue: cfg.queue, Work: cfg.work, Probe: cfg.probe,
+		Slowdown: float64(cfg.slowdown), Started: started, Cold: cfg.cold,
 		Recorder: recorder.New(), Now: time.Now,
 	}
-	if s.journal != "" {
-		journal, err := os.OpenFile(s.journal, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	if cfg.journal != "" {
+		journal, err := os.OpenFile(cfg.journal, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
 			return errors.Wrap(err, "open journal")
 		}
 		defer journal.Close()
 		upstream.Recorder.Journal = journal
 	}
-	if s.callers.IsValid() {
-		upstream.Caller = server.NewCaller(s.callers)
+	if cfg.callers.IsValid() {
+		upstream.Caller = server.NewCaller(cfg.callers)
 	}
-	upstream.Recorder.Instance = s.name
+	upstream.Recorder.Instance = cfg.name
 	upstream.Recorder.LogEvent(started, recorder.StepBoot, "")
-	upstream.Behave(server.Behavior{State: sycamorerun.StateReady})
-	connections, err := listener.New(s.listen, s.connections, s.connect)
+	upstream.SetBehavior(server.Behavior{State: sycamorerun.StateReady})
+	callListener, err := listener.New(cfg.listen, cfg.connections, cfg.connect)
 	if err != nil {
 		return err
 	}
-	calls := &http.Server{Handler: upstream.Handler(), ReadHeaderTimeout: 10 * time.Second, ConnContext: server.Connect}
-	control := &http.Server{Addr: s.control.String(), Handler: upstream.Control(), ReadHeaderTimeout: 10 * time.Second}
-	failed := make(chan error, 2)
-	go func() { failed <- calls.Serve(connections) }()
-	go func() { failed <- control.ListenAndServe() }()
+	callServer := &http.Server{Handler: upstream.Handler(), ReadHeaderTimeout: 10 * time.Second, ConnContext: server.ConnContext}
+	controlServer := &http.Server{Addr: cfg.control.String(), Handler: upstream.Control(), ReadHeaderTimeout: 10 * time.Second}
+	serveErrors := make(chan error, 2)
+	go func() { serveErrors <- callServer.Serve(callListener) }()
+	go func() { serveErrors <- controlServer.ListenAndServe() }()
 
 	announcer := &announcer.Announcer{
-		Node:      s.node,
-		Logger:    events,
-		Confirmed: upstream.Confirm,
+		Node:        cfg.node,
+		Logger:      logs,
+		OnConfirmed: upstream.OnStateConfirmed,
 		Current: func() announcer.Announcement {
 			behavior := upstream.Behavior()
-			state, slots := behavior.State, s.slots
+			state, slots := behavior.State, cfg.slots
 			if behavior.Slots > 0 {
 				slots = behavior.Slots
 			}
-			if state == sycamorerun.StateReady && time.Since(started) < s.cold {
+			if state == sycamorerun.StateReady && time.Since(started) < cfg.cold {
 				state = sycamorerun.StateCold
 			}
-			return announcer.Announcement{Service: s.service, Address: s.listen, State: state, Slots: slots}
+			return announcer.Announcement{Service: cfg.service, Address: cfg.listen, State: state, Slots: slots}
 		},
 	}
 	go announcer.Run(ctx)
-	level.Info(events).Log("msg", "upstream started", "service", s.service, "listen", s.listen)
+	level.Info(logs).Log("msg", "upstream started", "service", cfg.service, "listen", cfg.listen)
 
 	select {
-	case err := <-failed:
+	case err := <-serveErrors:
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	level.Info(events).Log("msg", "upstream stopping")
-	limited, cancel := context.WithTimeout(context.Background(), stopLimit)
+	level.Info(logs).Log("msg", "upstream stopping")
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := announcer.Leave(limited); err != nil {
-		level.Warn(events).Log("msg", "leave was not announced", "err", err)
+	if err := announcer.Leave(shutdownCtx); err != nil {
+		level.Warn(logs).Log("msg", "announcing the departure failed", "err", err)
 	}
-	return errors.Wrap(calls.Shutdown(limited), "shut down")
+	return errors.Wrap(callServer.Shutdown(shutdownCtx), "shut down")
 }
--- a/upstream/listener/listener.go
+++ b/upstream/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener limits the connections to an upstream and makes each new
-// one cost time, as the upstreams of the deployments do.
+// Package listener limits the number of connections to an upstream and delays
+// each new one, as the upstreams of the deployments do.
 package listener
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/pkg/errors"
 )
 
-// Listener accepts connections up to a limit; those beyond it wait in the
-// operating system's queue until one is closed.
+// Listener accepts connections up to a limit. Further ones wait in the operating
+// system's accept queue until a connection is closed.
 type Listener struct {
 	net.Listener
 	slots chan struct{}
 	delay time.Duration
 }
 
-// New listens on address for at most connections at once; each new one is
-// delayed.
+// New listens on address. It accepts at most connections at the same time and
+// delays each new one.
 func New(address netip.AddrPort, connections int, delay time.Duration) (*Listener, error) {
 	inner, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -41,13 +41,13 @@
 	return &connection{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
 }
 
-// connection gives its slot back when it is closed.
+// connection releases its slot when it is closed.
 type connection struct {
 	net.Conn
 	release func()
 }
 
-// NetConn returns the connection itself.
+// NetConn returns the underlying connection.
 func (c *connection) NetConn() net.Conn { return c.Conn }
 
 // Close implements net.Conn.
--- a/upstream/listener/listener_test.go
+++ b/upstream/listener/listener_test.go
@@ -11,8 +11,8 @@
 	"sycamorerun/upstream/listener"
 )
 
-// Guards against a stand-in that takes more connections than the upstreams
-// that it stands for.
+// Guards against a stand-in that accepts more connections than its limit, unlike
+// real upstreams.
 func TestLimit(t *testing.T) {
 	is := is.New(t)
 	l, err := listener.New(netip.MustParseAddrPort("127.0.0.1:0"), 1, time.Millisecond)
@@ -40,7 +40,7 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	is.NoErr(first.Close())
-	_ = first.Close() // A second close gives back no further slot.
+	_ = first.Close() // A second Close must not release another slot.
 	second := <-accepted
 	is.NoErr(second.Close())
 }
--- a/upstream/recorder/event.go
+++ b/upstream/recorder/event.go
@@ -11,46 +11,47 @@
 	"github.com/pkg/errors"
 )
 
-// Step is what happened to a request or to the upstream itself.
+// Step is the kind of an event of a request or of the upstream itself.
 type Step string
 
-// Steps of the journal.
+// Steps in a journal.
 const (
-	// StepBoot is the start of an upstream, StepLeave the confirmation that it
-	// drains or is gone, and StepReady the confirmation that it serves again.
+	// StepBoot is the start of an upstream, StepLeave the node's confirmation that
+	// the upstream drains or has left, and StepReady the confirmation that it serves
+	// again.
 	StepBoot  Step = "boot"
 	StepLeave Step = "leave"
 	StepReady Step = "ready"
-	// StepStart is the start of a request's execution, StepEnd its complete end,
-	// and StepBreak an end because the client went away, the deadline passed or
-	// the response could not be sent.
+	// StepStart is the start of a request's execution and StepEnd its completion.
+	// StepBreak is its abort because the client disconnected, the deadline passed
+	// or the response could not be sent.
 	StepStart Step = "start"
 	StepEnd   Step = "end"
 	StepBreak Step = "break"
-	// StepShed is a request that arrived and was refused, StepDamage one whose
-	// body is not the one that belongs to its id. Neither is executed.
+	// StepShed is a request that was rejected, and StepDamage a request whose body
+	// does not match its id. Neither is executed.
 	StepShed   Step = "shed"
 	StepDamage Step = "damage"
 )
 
-// requestSteps carry the id of a request.
-var requestSteps = map[Step]bool{
+// isRequestStep has all known steps and whether their events have a request id.
+var isRequestStep = map[Step]bool{
 	StepBoot: false, StepLeave: false, StepReady: false,
 	StepStart: true, StepEnd: true, StepBreak: true, StepShed: true, StepDamage: true,
 }
 
-// Event is a line of the journal.
+// Event is a line of a journal.
 type Event struct {
 	Step Step
 	// Instance is the upstream's name.
 	Instance string
-	// ID is that of a request, empty for the upstream's own steps.
+	// ID is the request's id, empty for steps of the upstream itself.
 	ID   string
 	Time time.Time
 }
 
-// LogEvent writes an event of this upstream to the journal. The line is written
-// at once, so that a killed process loses none.
+// LogEvent writes an event of this upstream to the journal. It does not buffer
+// the line, so that a killed process loses none.
 func (r *Recorder) LogEvent(now time.Time, step Step, id string) {
 	if r.Journal == nil {
 		return
@@ -61,12 +62,14 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	// A start that is lost here shows as an answered request that never ran.
+	// A failed write is detectable: the journal then lacks the start of a request
+	// that was answered.
 	_, _ = fmt.Fprintln(r.Journal, line)
 }
 
-// Events returns the events of a journal in their order and passes over its
-// other lines. The process may have been killed during the last line.
+// Events returns the events of a journal in order and skips other lines. It
+// ignores an incomplete last line, since the process may have been killed while
+// writing it.
 func Events(journal io.Reader) ([]Event, error) {
 	var events []Event
 	reader := bufio.NewReader(journal)
@@ -88,27 +91,27 @@
 	}
 }
 
-// parseEvent reports false for a line of another kind.
+// parseEvent parses a line. It returns false for a line of another kind.
 func parseEvent(line string) (Event, bool, error) {
 	fields := strings.Split(line, " ")
 	step := Step(fields[0])
-	request, known := requestSteps[step]
+	isRequest, known := isRequestStep[step]
 	if !known {
 		return Event{}, false, nil
 	}
-	wanted := 3
-	if request {
-		wanted = 4
+	fieldCount := 3
+	if isRequest {
+		fieldCount = 4
 	}
-	if len(fields) != wanted {
-		return Event{}, false, errors.Errorf("journal line %q", line)
+	if len(fields) != fieldCount {
+		return Event{}, false, errors.Errorf("malformed journal line %q", line)
 	}
 	nanoseconds, err := strconv.ParseInt(fields[1], 10, 64)
 	if err != nil {
-		return Event{}, false, errors.Wrapf(err, "journal line %q", line)
+		return Event{}, false, errors.Wrapf(err, "malformed journal line %q", line)
 	}
 	event := Event{Step: step, Instance: fields[2], Time: time.Unix(0, nanoseconds)}
-	if request {
+	if isRequest {
 		event.ID = fields[3]
 	}
 	return event, true, nil
--- a/upstream/recorder/journal.go
+++ b/upstream/recorder/journal.go
@@ -9,23 +9,24 @@
 	"github.com/pkg/errors"
 )
 
-// Kinds of the lines of a journal.
+// Kinds of journal lines that are not events.
 const (
 	lineRun    = "run"
 	lineUpload = "upload"
 )
 
-// note writes a line to the journal, if there is one. A killed process loses
-// its memory but not what it wrote.
-func (r *Recorder) note(kind, value string) {
+// writeLine writes a line to the journal, if there is one. The journal preserves
+// the records of a killed process.
+func (r *Recorder) writeLine(kind, value string) {
 	if r.Journal != nil {
-		// A line that is lost here shows as an answered request that never ran.
+		// A failed write is detectable: the journal then lacks the run of a request
+		// that was answered.
 		_, _ = fmt.Fprintf(r.Journal, "%s %s\n", kind, value)
 	}
 }
 
-// Replay returns the runs and uploads of a journal, which may stem from
-// several processes one after the other.
+// Replay returns the runs and uploads of a journal, to which several processes
+// may have written one after the other.
 func Replay(journal io.Reader) (Records, error) {
 	recorder := New()
 	scanner := bufio.NewScanner(journal)
@@ -35,10 +36,10 @@
 		case lineRun:
 			recorder.RecordRun(value)
 		case lineUpload:
-			recorder.Upload(value)
+			recorder.RecordUpload(value)
 		default:
 			if _, known, err := parseEvent(scanner.Text()); err != nil || !known {
-				return Records{}, errors.Errorf("journal line %q", scanner.Text())
+				return Records{}, errors.Errorf("malformed journal line %q", scanner.Text())
 			}
 		}
 	}
--- a/upstream/recorder/recorder.go
+++ b/upstream/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder keeps what an upstream ran, so that tests can judge the
-// system by the upstream's own records.
+// Package recorder records the requests that an upstream executes, so that tests
+// can check the system against the upstream's own records.
 package recorder
 
 import (
@@ -10,27 +10,29 @@
 	"time"
 )
 
-// Records is a copy of what was recorded.
+// Records is a snapshot of a Recorder.
 type Records struct {
 	// Requests counts the requests that started.
 	Requests int `json:"requests"`
-	// Running is the number of requests that have not ended.
+	// Running is the number of requests in progress.
 	Running int `json:"running"`
-	// Runs counts completed non-idempotent requests for each key.
+	// Runs counts the executions of non-idempotent requests for each key.
 	Runs map[string]int `json:"runs"`
-	// Uploads are the hex SHA-256 sums of uploads that arrived whole.
+	// Uploads lists the hex SHA-256 sums of the completely received uploads.
 	Uploads []string `json:"uploads"`
-	// Broken counts uploads that ended before their end mark.
+	// Broken counts requests whose body ended prematurely.
 	Broken int `json:"broken"`
-	// Cancelled counts requests whose client went away.
+	// Cancelled counts requests whose client disconnected or whose deadline passed
+	// during the execution.
 	Cancelled int `json:"cancelled"`
 	// Expired counts requests that started after their deadline.
 	Expired int `json:"expired"`
-	// Shed counts requests that were refused.
+	// Shed counts rejected requests.
 	Shed int `json:"shed"`
 	// AfterDrain counts requests that started after the drain began.
 	AfterDrain int `json:"after"`
-	// LastAfterDrain is the time from the drain to the last such request.
+	// LastAfterDrain is the time from the start of the drain to the last such
+	// request.
 	LastAfterDrain time.Duration `json:"last"`
 	// Last is when the last request started.
 	Last time.Time `json:"time"`
@@ -38,15 +40,15 @@
 
 // Recorder collects Records. It is safe for concurrent use.
 type Recorder struct {
-	// Journal, if set before use, gets a line for each run and upload before the
-	// request is answered.
+	// Journal, if set, receives a line for each run and upload before the request
+	// is answered, and the events. Set it before use.
 	Journal io.Writer
 	// Instance is the upstream's name in the journal's events.
 	Instance string
 
-	mutex   sync.Mutex
-	records Records
-	drained time.Time
+	mutex      sync.Mutex
+	records    Records
+	drainStart time.Time
 }
 
 // New returns an empty Recorder.
@@ -54,24 +56,24 @@
 	return &Recorder{records: Records{Runs: map[string]int{}}}
 }
 
-// Start records a request that started at now.
-func (r *Recorder) Start(now time.Time) {
+// RecordStart records a request that started at now.
+func (r *Recorder) RecordStart(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.records.Requests++
 	r.records.Last = now
-	if !r.drained.IsZero() {
+	if !r.drainStart.IsZero() {
 		r.records.AfterDrain++
-		r.records.LastAfterDrain = now.Sub(r.drained)
+		r.records.LastAfterDrain = now.Sub(r.drainStart)
 	}
 }
 
-// Drain records that the drain began at now.
-func (r *Recorder) Drain(now time.Time) {
+// RecordDrain records that the drain began at now. Only the first call counts.
+func (r *Recorder) RecordDrain(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.drained.IsZero() {
-		r.drained = now
+	if r.drainStart.IsZero() {
+		r.drainStart = now
 	}
 }
 
@@ -79,29 +81,30 @@
 func (r *Recorder) RecordRun(key string) {
 	r.update(func(records *Records) {
 		records.Runs[key]++
-		r.note(lineRun, key)
+		r.writeLine(lineRun, key)
 	})
 }
 
-// Upload records a whole upload.
-func (r *Recorder) Upload(sum string) {
+// RecordUpload records a completely received upload with its SHA-256 sum.
+func (r *Recorder) RecordUpload(sum string) {
 	r.update(func(records *Records) {
 		records.Uploads = append(records.Uploads, sum)
-		r.note(lineUpload, sum)
+		r.writeLine(lineUpload, sum)
 	})
 }
 
-// Break records an upload that was cut.
-func (r *Recorder) Break() { r.update(func(records *Records) { records.Broken++ }) }
+// RecordBrokenUpload records a request whose body ended prematurely.
+func (r *Recorder) RecordBrokenUpload() { r.update(func(records *Records) { records.Broken++ }) }
 
-// Cancel records a request whose client went away.
-func (r *Recorder) Cancel() { r.update(func(records *Records) { records.Cancelled++ }) }
+// RecordCancelled records a request whose client disconnected or whose deadline
+// passed.
+func (r *Recorder) RecordCancelled() { r.update(func(records *Records) { records.Cancelled++ }) }
 
-// Expire records a request that started after its deadline.
-func (r *Recorder) Expire() { r.update(func(records *Records) { records.Expired++ }) }
+// RecordExpired records a request that started after its deadline.
+func (r *Recorder) RecordExpired() { r.update(func(records *Records) { records.Expired++ }) }
 
-// Shed records a refused request.
-func (r *Recorder) Shed() { r.update(func(records *Records) { records.Shed++ }) }
+// RecordShed records a rejected request.
+func (r *Recorder) RecordShed() { r.update(func(records *Records) { records.Shed++ }) }
 
 // Records returns a copy of what was recorded.
 func (r *Recorder) Records() Records {
--- a/upstream/server/behavior.go
+++ b/upstream/server/behavior.go
@@ -6,56 +6,58 @@
 	"sycamorerun"
 )
 
-// Behavior is what can be told to the upstream at run time.
+// Behavior is the configuration that tests change at run time.
 type Behavior struct {
-	// State is what the upstream announces.
+	// State is the announced state.
 	State sycamorerun.State `json:"state"`
-	// Shed refuses every request with status 503.
+	// Shed rejects every request with status 503.
 	Shed bool `json:"shed"`
 	// Silent accepts requests and never answers.
 	Silent bool `json:"silent"`
-	// Cut closes the connection after reading the request, before an answer.
+	// Cut closes the connection in place of an answer and doesn't execute the
+	// request.
 	Cut bool `json:"cut"`
-	// Spread closes the connection when the next call of a chain fails, in
+	// PropagateFailure closes the connection when the next call of a chain fails, in
 	// place of an answer.
-	Spread bool `json:"spread"`
-	// Health is the status of the health endpoint, whatever the truth is.
+	PropagateFailure bool `json:"spread"`
+	// Health overrides the status of the health endpoint when it is not zero.
 	Health int `json:"health"`
 	// Load overrides the reported load, a fraction of the slots, when positive.
 	Load float64 `json:"load"`
-	// Slots overrides the announced slots when positive; it changes nothing in
-	// what runs at once.
+	// Slots overrides the announced slots when positive. The number of requests
+	// that run at once stays the same.
 	Slots int `json:"slots"`
 	// Delay is added to each request, in milliseconds.
 	Delay int `json:"delay"`
-	// Fail, Lose, Truncate, Surplus and Extra are shares of the requests. Fail
-	// answers with status 500 without a run, while the health endpoint is good.
+	// Fail, Lose, Truncate, Surplus and Extra are shares of the requests, from 0 to
+	// 1. Fail answers with status 500 without executing the request. It doesn't
+	// affect the health endpoint.
 	Fail float64 `json:"fail"`
-	// Lose runs the request and cuts the connection in place of a response.
+	// Lose executes the request and closes the connection in place of a response.
 	Lose float64 `json:"lose"`
-	// Truncate cuts the connection in the middle of the response's body.
+	// Truncate closes the connection in the middle of the response's body.
 	Truncate float64 `json:"truncate"`
 	// Surplus sends bytes after the complete response, on the open connection.
 	Surplus float64 `json:"surplus"`
-	// Extra sends the response once more after some milliseconds.
+	// Extra sends the response a second time after extraDelay.
 	Extra float64 `json:"extra"`
-	// Reset resets connections whose requests find slots and queue full.
+	// Reset resets the connection of a request when slots and queue are full.
 	Reset bool `json:"reset"`
 }
 
-// behaviors holds the current Behavior for concurrent readers.
-type behaviors struct {
+// behaviorState holds the current Behavior. It is safe for concurrent use.
+type behaviorState struct {
 	mutex   sync.Mutex
 	current Behavior
 }
 
-func (b *behaviors) get() Behavior {
+func (b *behaviorState) get() Behavior {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.current
 }
 
-func (b *behaviors) set(next Behavior) {
+func (b *behaviorState) set(next Behavior) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.current = next
--- a/upstream/server/chain.go
+++ b/upstream/server/chain.go
@@ -14,7 +14,7 @@
 	"sycamorerun"
 )
 
-// Chain is the answer to a call of a chain.
+// Chain is the answer to a chain call, which passes through several upstreams.
 type Chain struct {
 	// Links counts the upstreams from here to the last one.
 	Links int `json:"links"`
@@ -24,27 +24,28 @@
 	Attempt  string `json:"attempt"`
 }
 
-// chainBytes bounds the answer of the next upstream.
-const chainBytes = 4 << 10
+// maxChainBytes bounds the size of the next upstream's answer.
+const maxChainBytes = 4 << 10
 
-// Caller makes the next call of a chain through the node beside the upstream.
+// Caller sends the next call of a chain through the node beside the upstream.
 type Caller struct {
 	// Node is the node's address for callers.
 	Node   netip.AddrPort
 	client http.Client
 }
 
-// NewCaller returns a Caller through node.
+// NewCaller returns a Caller that sends calls through node.
 func NewCaller(node netip.AddrPort) *Caller {
 	return &Caller{Node: node, client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
-// call calls the first host of rest, which gets the other ones as its own
-// rest. The request ends with r, and passes on its attempt and its deadline.
-func (c *Caller) call(r *http.Request, rest string) (Chain, error) {
+// forward sends the next call of a chain to the first of hosts, with the other
+// ones in its path. The call is cancelled together with r and carries its attempt
+// and its remaining deadline.
+func (c *Caller) forward(r *http.Request, hosts string) (Chain, error) {
 	var chain Chain
-	host, others, _ := strings.Cut(rest, "/")
-	target := "http://" + c.Node.String() + "/chain/" + others + "?" + r.URL.RawQuery
+	host, remaining, _ := strings.Cut(hosts, "/")
+	target := "http://" + c.Node.String() + "/chain/" + remaining + "?" + r.URL.RawQuery
 	next, err := http.NewRequestWithContext(r.Context(), r.Method, target, nil)
 	if err != nil {
 		return chain, errors.Wrap(err, "next call")
@@ -61,7 +62,7 @@
 		return chain, errors.Wrap(err, "next call")
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, chainBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxChainBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
 		err = errors.Errorf("next call: status %d", response.StatusCode)
 	}
@@ -71,12 +72,12 @@
 	return chain, errors.Wrap(err, "next call")
 }
 
-// chain makes the next call, or counts an execution at the last upstream. When
-// the next call fails it answers with status 502, or breaks its connection if
-// the behavior says so.
+// chain forwards a chain call to the next upstream, or records a run if this is
+// the last one. When the next call fails, it answers with status 502, or closes
+// the connection if Behavior.PropagateFailure is set.
 func (s *Server) chain(w http.ResponseWriter, r *http.Request) {
-	rest := r.PathValue("rest")
-	if rest == "" {
+	hosts := r.PathValue("rest")
+	if hosts == "" {
 		s.Recorder.RecordRun(r.URL.Query().Get("key"))
 		writeJSON(w, Chain{
 			Links: 1, Deadline: r.Header.Get(sycamorerun.HeaderDeadline), Attempt: r.Header.Get(sycamorerun.HeaderAttempt),
@@ -87,15 +88,15 @@
 		http.Error(w, "no node for the next call", http.StatusNotImplemented)
 		return
 	}
-	chain, err := s.Caller.call(r, rest)
+	chain, err := s.Caller.forward(r, hosts)
 	switch {
 	case err == nil:
 		chain.Links++
 		writeJSON(w, chain)
 	case r.Context().Err() != nil:
-		s.Recorder.Cancel()
-		expired(w)
-	case s.Behavior().Spread:
+		s.Recorder.RecordCancelled()
+		writeExpired(w)
+	case s.Behavior().PropagateFailure:
 		panic(http.ErrAbortHandler)
 	default:
 		http.Error(w, err.Error(), http.StatusBadGateway)
--- a/upstream/server/fault.go
+++ b/upstream/server/fault.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// extraDelay is the time after which a response is sent once more, when the
-// connection may carry the next request.
+// extraDelay is the time after which a response is sent a second time. By then
+// the connection may carry the next request.
 const extraDelay = 5 * time.Millisecond
 
-// chunkedFrom is the size above which truncated responses are chunked, so that
-// both ways to see the end of a response are tested.
-const chunkedFrom = 32 << 10
+// chunkedThreshold is the size in bytes above which truncated responses are
+// chunked, so that tests cover both ways of delimiting a body.
+const chunkedThreshold = 32 << 10
 
-// faults are what can happen to the response of a request that ran, in the
-// order in which they apply; the first one that hits replaces the response.
+// faults lists the faults in the response to an executed request, in order of
+// precedence. The first one that applies replaces the response.
 var faults = []struct {
 	name  string
 	share func(Behavior) float64
@@ -30,48 +30,49 @@
 		panic(http.ErrAbortHandler)
 	}},
 	{"truncate", func(b Behavior) float64 { return b.Truncate }, func(_ *Server, w http.ResponseWriter, _ *http.Request, answer []byte) {
-		if len(answer) <= chunkedFrom {
-			state(w, answer)
+		if len(answer) <= chunkedThreshold {
+			setContentLength(w, answer)
 		}
 		_, _ = w.Write(answer[:len(answer)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}},
 	{"surplus", func(b Behavior) float64 { return b.Surplus }, func(_ *Server, w http.ResponseWriter, r *http.Request, answer []byte) {
-		state(w, answer)
+		setContentLength(w, answer)
 		_, _ = w.Write(answer)
 		_ = http.NewResponseController(w).Flush()
-		raw(r, []byte("surplus bytes"))
+		writeRaw(r, []byte("surplus bytes"))
 	}},
 	{"extra", func(b Behavior) float64 { return b.Extra }, func(_ *Server, w http.ResponseWriter, r *http.Request, answer []byte) {
-		state(w, answer)
+		setContentLength(w, answer)
 		_, _ = w.Write(answer)
-		extra := render(w.Header(), answer)
-		time.AfterFunc(extraDelay, func() { raw(r, extra) })
+		extra := renderResponse(w.Header(), answer)
+		time.AfterFunc(extraDelay, func() { writeRaw(r, extra) })
 	}},
 }
 
-// state sets the length of a response. What follows a chunked response would be
-// sent before its last chunk.
-func state(w http.ResponseWriter, answer []byte) {
+// setContentLength sets the length of a response, which prevents chunking. Bytes
+// that are written after a chunked response would be sent before its last chunk.
+func setContentLength(w http.ResponseWriter, answer []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 }
 
-// fault returns the fault that a request meets, by its id: the same request
-// meets the same one each time. It returns nil for none.
-func (s *Server) fault(id string) func(w http.ResponseWriter, r *http.Request, answer []byte) {
+// selectFault returns the fault for the request with an id, or nil. The choice
+// depends only on the behavior and the id, so that the same request gets the same
+// fault each time.
+func (s *Server) selectFault(id string) func(w http.ResponseWriter, r *http.Request, answer []byte) {
 	behavior := s.Behavior()
 	for _, fault := range faults {
-		if hits(fault.share(behavior), fault.name, id) {
+		if inShare(fault.share(behavior), fault.name, id) {
 			return func(w http.ResponseWriter, r *http.Request, answer []byte) { fault.send(s, w, r, answer) }
 		}
 	}
 	return nil
 }
 
-// hits reports whether a share of the requests contains the one with id; one
-// without id is drawn at random.
-func hits(share float64, name, id string) bool {
+// inShare reports whether the request with id belongs to a share of the requests.
+// A request without an id is selected at random.
+func inShare(share float64, name, id string) bool {
 	if share <= 0 || id == "" {
 		return share > 0 && rand.Float64() < share
 	}
@@ -80,24 +81,25 @@
 	return rand.New(rand.NewPCG(hash.Sum64(), 0)).Float64() < share
 }
 
-// connectionKey is the key of a request's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// Connect is the ConnContext of the HTTP server. Without it there are neither
-// surplus bytes nor extra responses nor resets.
-func Connect(ctx context.Context, connection net.Conn) context.Context {
+// ConnContext must be set as ConnContext of the HTTP server. Without it, no
+// surplus bytes, extra responses or TCP resets are sent.
+func ConnContext(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
 
-// raw writes to the connection of a request, past its response.
-func raw(r *http.Request, data []byte) {
+// writeRaw writes data directly to the connection of a request, after its
+// response.
+func writeRaw(r *http.Request, data []byte) {
 	if connection, ok := r.Context().Value(connectionKey{}).(net.Conn); ok {
-		_, _ = connection.Write(data) // The client went away.
+		_, _ = connection.Write(data) // Fails only if the client disconnected.
 	}
 }
 
-// reset closes the connection of a request with a reset.
-func reset(r *http.Request) {
+// resetConnection closes the connection of a request with a TCP reset.
+func resetConnection(r *http.Request) {
 	connection, _ := r.Context().Value(connectionKey{}).(net.Conn)
 	if wrapped, ok := connection.(interface{ NetConn() net.Conn }); ok {
 		connection = wrapped.NetConn()
@@ -108,12 +110,12 @@
 	panic(http.ErrAbortHandler)
 }
 
-// render returns a response as it is sent.
-func render(header http.Header, answer []byte) []byte {
-	var text bytes.Buffer
-	text.WriteString("HTTP/1.1 200 OK\r\n")
-	_ = header.Write(&text) // Never fails.
-	text.WriteString("\r\n")
-	text.Write(answer)
-	return text.Bytes()
+// renderResponse returns the bytes of an HTTP response with status 200.
+func renderResponse(header http.Header, answer []byte) []byte {
+	var buffer bytes.Buffer
+	buffer.WriteString("HTTP/1.1 200 OK\r\n")
+	_ = header.Write(&buffer) // Never fails.
+	buffer.WriteString("\r\n")
+	buffer.Write(answer)
+	return buffer.Bytes()
 }
--- a/upstream/server/fault_test.go
+++ b/upstream/server/fault_test.go
@@ -18,8 +18,8 @@
 	"sycamorerun/upstream/server"
 )
 
-// call sends one request to /run over a connection of its own.
-func call(address, id string) net.Conn {
+// sendRun sends one request to /run over a new connection.
+func sendRun(address, id string) net.Conn {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		panic(err)
@@ -31,15 +31,15 @@
 	return conn
 }
 
-// Guards against experiments whose faults never took place, or that say that a
-// request ran when it did not.
+// Guards against a configured fault that isn't injected, and against a journal
+// that doesn't match what was executed.
 func TestFaults(t *testing.T) {
 	cases := map[string]struct {
-		behavior server.Behavior
-		status   int
-		broken   bool   // the body is not whole
-		more     string // bytes after the response
-		steps    string
+		behavior  server.Behavior
+		status    int
+		truncated bool   // the body is incomplete
+		trailing  string // bytes after the response
+		steps     string
 	}{
 		"none":     {server.Behavior{}, http.StatusOK, false, "", "start end"},
 		"fail":     {server.Behavior{Fail: 1}, http.StatusInternalServerError, false, "", ""},
@@ -56,11 +56,11 @@
 			s := newServer()
 			var journal strings.Builder
 			s.Recorder.Journal, s.Recorder.Instance = &journal, "u"
-			s.Behave(test.behavior)
+			s.SetBehavior(test.behavior)
 			upstream := httptest.NewUnstartedServer(s.Handler())
-			upstream.Config.ConnContext = server.Connect
+			upstream.Config.ConnContext = server.ConnContext
 			upstream.Start()
-			conn := call(upstream.Listener.Addr().String(), "r")
+			conn := sendRun(upstream.Listener.Addr().String(), "r")
 			defer conn.Close()
 			reader := bufio.NewReader(conn)
 			response, err := http.ReadResponse(reader, nil)
@@ -68,14 +68,14 @@
 			if err == nil {
 				is.Equal(response.StatusCode, test.status)
 				_, err = io.ReadAll(response.Body)
-				is.Equal(err != nil, test.broken)
+				is.Equal(err != nil, test.truncated)
 			}
-			if test.more != "" {
-				more, err := reader.Peek(len(test.more))
+			if test.trailing != "" {
+				more, err := reader.Peek(len(test.trailing))
 				is.NoErr(err)
-				is.Equal(string(more), test.more)
+				is.Equal(string(more), test.trailing)
 			}
-			upstream.Close() // Waits for the handler.
+			upstream.Close() // Waits until the handler returns.
 			events, err := recorder.Events(strings.NewReader(journal.String()))
 			is.NoErr(err)
 			var steps []string
@@ -87,29 +87,29 @@
 	}
 }
 
-// Guards against an upstream that runs more than its slots, has no queue, or is
-// as fast at its start as later.
+// Guards against an upstream that runs more requests than it has slots, doesn't
+// queue requests, or ignores the slowdown while cold.
 func TestSlots(t *testing.T) {
 	is := is.New(t)
 	s := newServer()
 	s.Queue, s.Work, s.Started, s.Cold, s.Slowdown = 1, 50*time.Millisecond, time.Now(), time.Hour, 2
-	s.Behave(server.Behavior{Reset: true})
+	s.SetBehavior(server.Behavior{Reset: true})
 	upstream := httptest.NewUnstartedServer(s.Handler())
-	upstream.Config.ConnContext = server.Connect
+	upstream.Config.ConnContext = server.ConnContext
 	upstream.Start()
 	defer upstream.Close()
 	start := time.Now()
-	var mutex sync.Mutex
+	var mu sync.Mutex
 	var took []time.Duration
 	reset := 0
 	var group sync.WaitGroup
 	for range 3 {
 		group.Go(func() {
-			conn := call(upstream.Listener.Addr().String(), "r")
+			conn := sendRun(upstream.Listener.Addr().String(), "r")
 			defer conn.Close()
 			_, err := http.ReadResponse(bufio.NewReader(conn), nil)
-			mutex.Lock()
-			defer mutex.Unlock()
+			mu.Lock()
+			defer mu.Unlock()
 			if err != nil && strings.Contains(err.Error(), "reset") {
 				reset++
 			}
--- a/upstream/server/server.go
+++ b/upstream/server/server.go
@@ -1,6 +1,6 @@
-// Package server is a stand-in upstream: it answers small and slow requests,
-// hashes uploads, counts runs of non-idempotent requests, and misbehaves when
-// told to.
+// Package server implements a stand-in upstream. It answers small and slow
+// requests, hashes uploads, counts runs of non-idempotent requests, and injects
+// faults on demand.
 package server
 
 import (
@@ -25,63 +25,69 @@
 const (
 	HeaderUpstream = "X-Upstream"
 	HeaderLoad     = "X-Load"
-	// HeaderCall carries the id of a caller's attempt, which the response repeats.
+	// HeaderCall has the id of a caller's attempt in the request and the response.
 	HeaderCall = "X-Call"
-	// HeaderReceivedDeadline is the deadline with which the request arrived, in the response.
+	// HeaderReceivedDeadline has, in the response, the deadline header of the
+	// request.
 	HeaderReceivedDeadline = "X-Left"
 )
 
 // pathHealth is the path of the health endpoint.
 const pathHealth = "/healthz"
 
-// maxSlow bounds the time that a request can ask the upstream to take.
-const maxSlow = time.Minute
+// maxWork bounds the execution time that a request can ask for.
+const maxWork = time.Minute
 
 // Server is the upstream's HTTP handler. Set the fields before use.
 type Server struct {
 	Name    string
 	Service string
 	Slots   int
-	// Queue is the number of requests that wait for a slot; more are shed.
+	// Queue is the number of requests that can wait for a slot. Further ones are
+	// shed.
 	Queue int
-	Work  time.Duration
-	// Work takes Slowdown times as long at Started, which falls to the normal time
-	// within Cold.
+	// Work is the execution time of each request.
+	Work time.Duration
+	// Slowdown is the factor by which Work is longer at Started. It falls linearly
+	// to 1 within Cold.
 	Slowdown float64
 	Started  time.Time
 	Cold     time.Duration
 	// Probe is the time that a health probe takes.
 	Probe    time.Duration
 	Recorder *recorder.Recorder
-	// Caller makes the next call of a chain; nil: no chains.
+	// Caller sends the next call of a chain. If it is nil, chain calls with a next
+	// upstream fail.
 	Caller *Caller
 	Now    func() time.Time
 
-	behaviors behaviors
+	behavior  behaviorState
 	running   atomic.Int64
-	once      sync.Once
+	initSlots sync.Once
 	slots     chan struct{}
 	queued    atomic.Int64
-	// confirmed guards left, whether the node confirmed that the upstream leaves.
-	confirmed sync.Mutex
-	left      bool
+	// stateMutex guards leaving, which is set while the state that the node
+	// confirmed last is draining or left.
+	stateMutex sync.Mutex
+	leaving    bool
 }
 
 // Behavior returns the current behavior.
-func (s *Server) Behavior() Behavior { return s.behaviors.get() }
+func (s *Server) Behavior() Behavior { return s.behavior.get() }
 
-// Behave changes the behavior.
-func (s *Server) Behave(next Behavior) {
+// SetBehavior replaces the behavior. The first change to draining starts the
+// drain in the records.
+func (s *Server) SetBehavior(next Behavior) {
 	if next.State == sycamorerun.StateDraining {
-		s.Recorder.Drain(s.Now())
+		s.Recorder.RecordDrain(s.Now())
 	}
-	s.behaviors.set(next)
+	s.behavior.set(next)
 }
 
-// Handler returns the handler for calls.
+// Handler returns the handler for the node's calls.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/", s.answer)
+	mux.HandleFunc("/", s.echo)
 	mux.HandleFunc("GET "+pathHealth, s.health)
 	mux.HandleFunc("/upload", s.upload)
 	mux.HandleFunc("/book", s.book)
@@ -92,7 +98,8 @@
 	return s.admit(mux)
 }
 
-// Control returns the handler that tests use to steer and read the upstream.
+// Control returns the handler with which tests control the upstream and read its
+// records.
 func (s *Server) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /records", func(w http.ResponseWriter, _ *http.Request) {
@@ -109,13 +116,14 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		s.Behave(next)
+		s.SetBehavior(next)
 		w.WriteHeader(http.StatusNoContent)
 	})
 	return mux
 }
 
-// admit counts the request, applies the behavior and reports the load.
+// admit waits for a slot, records the request, reports the load and applies the
+// behavior.
 func (s *Server) admit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		behavior := s.Behavior()
@@ -130,51 +138,51 @@
 			w.Header().Set(sycamorerun.HeaderRequest, id)
 		}
 		w.Header().Set(HeaderLoad, strconv.FormatFloat(load, 'f', 3, 64))
-		left, err := strconv.Atoi(r.Header.Get(sycamorerun.HeaderDeadline))
-		limited := err == nil
-		if limited {
-			ctx, cancel := context.WithTimeout(r.Context(), time.Duration(left)*time.Millisecond)
+		remaining, err := strconv.Atoi(r.Header.Get(sycamorerun.HeaderDeadline))
+		hasDeadline := err == nil
+		if hasDeadline {
+			ctx, cancel := context.WithTimeout(r.Context(), time.Duration(remaining)*time.Millisecond)
 			defer cancel()
 			r = r.WithContext(ctx)
 		}
 		id := r.Header.Get(HeaderCall)
-		if behavior.Shed || !s.take(r.Context()) {
-			s.Recorder.Shed()
-			s.note(recorder.StepShed, id)
+		if behavior.Shed || !s.acquireSlot(r.Context()) {
+			s.Recorder.RecordShed()
+			s.logEvent(recorder.StepShed, id)
 			if behavior.Reset && !behavior.Shed {
-				reset(r)
+				resetConnection(r)
 			}
 			http.Error(w, "overloaded", http.StatusServiceUnavailable)
 			return
 		}
-		defer s.release()
-		s.Recorder.Start(s.Now())
-		if limited && left <= 0 {
-			s.Recorder.Expire()
+		defer s.releaseSlot()
+		s.Recorder.RecordStart(s.Now())
+		if hasDeadline && remaining <= 0 {
+			s.Recorder.RecordExpired()
 		}
 		switch {
 		case behavior.Silent:
 			<-r.Context().Done()
-			expired(w)
+			writeExpired(w)
 			return
 		case behavior.Cut:
 			panic(http.ErrAbortHandler)
-		case r.URL.Path != pathHealth && hits(behavior.Fail, "fail", id):
+		case r.URL.Path != pathHealth && inShare(behavior.Fail, "fail", id):
 			http.Error(w, "failing", http.StatusInternalServerError)
 			return
 		}
-		work := s.slowed(s.Work + time.Duration(behavior.Delay)*time.Millisecond)
-		if !s.wait(r.Context(), work) {
-			expired(w)
+		work := s.withSlowdown(s.Work + time.Duration(behavior.Delay)*time.Millisecond)
+		if !s.sleep(r.Context(), work) {
+			writeExpired(w)
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// wait sleeps for d and reports false when the client went away or the deadline
-// passed first.
-func (s *Server) wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if the client disconnects or the deadline
+// passes first.
+func (s *Server) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -184,45 +192,46 @@
 	case <-timer.C:
 		return true
 	case <-ctx.Done():
-		s.Recorder.Cancel()
+		s.Recorder.RecordCancelled()
 		return false
 	}
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
+func (s *Server) echo(w http.ResponseWriter, r *http.Request) {
 	writeJSON(w, map[string]string{"service": s.Service, "upstream": s.Name, "path": r.URL.RequestURI()})
 }
 
 func (s *Server) health(w http.ResponseWriter, r *http.Request) {
-	s.wait(r.Context(), s.Probe)
+	s.sleep(r.Context(), s.Probe)
 	if status := s.Behavior().Health; status != 0 {
 		w.WriteHeader(status)
 	}
 }
 
-// upload hashes the body; only a body that arrives whole is recorded.
+// upload hashes the body and records the hash if the body arrives completely.
 func (s *Server) upload(w http.ResponseWriter, r *http.Request) {
 	digest := sha256.New()
 	n, err := io.Copy(digest, r.Body)
 	if err != nil {
-		s.Recorder.Break()
+		s.Recorder.RecordBrokenUpload()
 		panic(http.ErrAbortHandler)
 	}
 	sum := hex.EncodeToString(digest.Sum(nil))
-	s.Recorder.Upload(sum)
+	s.Recorder.RecordUpload(sum)
 	writeJSON(w, map[string]any{"sha256": sum, "bytes": n, "upstream": s.Name})
 }
 
-// book counts an execution for the request's key, and answers after the time
-// for if it is given: what ran is then not yet known to the caller.
+// book records a run for the request's key. If the parameter "for" is given, it
+// answers only after that time, so that the caller doesn't know yet whether the
+// request ran.
 func (s *Server) book(w http.ResponseWriter, r *http.Request) {
 	key := r.Header.Get(sycamorerun.HeaderKey)
 	if key == "" {
 		key = r.URL.Query().Get("key")
 	}
 	s.Recorder.RecordRun(key)
-	if d, err := time.ParseDuration(r.URL.Query().Get("for")); err == nil && !s.wait(r.Context(), min(d, maxSlow)) {
-		expired(w)
+	if d, err := time.ParseDuration(r.URL.Query().Get("for")); err == nil && !s.sleep(r.Context(), min(d, maxWork)) {
+		writeExpired(w)
 		return
 	}
 	writeJSON(w, map[string]string{"booked": key, "upstream": s.Name})
@@ -230,42 +239,44 @@
 
 func (s *Server) slow(w http.ResponseWriter, r *http.Request) {
 	d, err := time.ParseDuration(r.URL.Query().Get("for"))
-	if err != nil || d < 0 || d > maxSlow {
-		http.Error(w, fmt.Sprintf("for: a duration up to %s", maxSlow), http.StatusBadRequest)
+	if err != nil || d < 0 || d > maxWork {
+		http.Error(w, fmt.Sprintf("for: a duration up to %s", maxWork), http.StatusBadRequest)
 		return
 	}
-	if !s.wait(r.Context(), d) {
-		expired(w)
+	if !s.sleep(r.Context(), d) {
+		writeExpired(w)
 		return
 	}
-	s.answer(w, r)
+	s.echo(w, r)
 }
 
-// expired answers a request that did not run, since its deadline passed or its
-// client went away. An empty answer with status 200 would look like a success.
-func expired(w http.ResponseWriter) {
+// writeExpired answers a request that was aborted because its deadline passed or
+// its client disconnected. An empty answer with status 200 would look like a
+// success.
+func writeExpired(w http.ResponseWriter) {
 	http.Error(w, "deadline passed", http.StatusGatewayTimeout)
 }
 
-// bytes streams a pattern of the asked size, over the time for if it is given.
+// bytes streams a pattern of "size" bytes. If the parameter "for" is given, the
+// response is spread over that time.
 func (s *Server) bytes(w http.ResponseWriter, r *http.Request) {
 	size, err := strconv.ParseInt(r.URL.Query().Get("size"), 10, 64)
 	if err != nil || size < 0 || size > 1<<30 {
 		http.Error(w, "size: 0 to 1073741824", http.StatusBadRequest)
 		return
 	}
-	spread, err := time.ParseDuration(cmp.Or(r.URL.Query().Get("for"), "0s"))
-	if err != nil || spread < 0 || spread > maxSlow {
-		http.Error(w, fmt.Sprintf("for: a duration up to %s", maxSlow), http.StatusBadRequest)
+	duration, err := time.ParseDuration(cmp.Or(r.URL.Query().Get("for"), "0s"))
+	if err != nil || duration < 0 || duration > maxWork {
+		http.Error(w, fmt.Sprintf("for: a duration up to %s", maxWork), http.StatusBadRequest)
 		return
 	}
 	block := make([]byte, 32<<10)
 	for i := range block {
 		block[i] = byte(i)
 	}
-	pause := spread / time.Duration(1+size/int64(len(block)))
+	pause := duration / time.Duration(1+size/int64(len(block)))
 	for size > 0 {
-		if !s.wait(r.Context(), pause) {
+		if !s.sleep(r.Context(), pause) {
 			panic(http.ErrAbortHandler)
 		}
 		part := block[:min(size, int64(len(block)))]
@@ -278,5 +289,5 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // The client went away.
+	_ = json.NewEncoder(w).Encode(value) // Fails only if the client disconnected.
 }
--- a/upstream/server/server_test.go
+++ b/upstream/server/server_test.go
@@ -22,69 +22,69 @@
 	return &server.Server{Name: "u", Service: "s", Slots: 1, Recorder: recorder.New(), Now: time.Now}
 }
 
-// Guards against records that would let a test of at most once, of deadlines
-// or of drains pass although the upstream saw a fault.
+// Guards against wrong records, which would hide violations of at-most-once
+// execution, deadlines or drains from the tests that read them.
 func TestRecords(t *testing.T) {
 	cases := map[string]struct {
 		behavior server.Behavior
 		request  func() *http.Request
 		status   int
-		wanted   recorder.Records
+		want     recorder.Records
 	}{
 		"booking": {
-			request: func() *http.Request { return keyed("/book", "k1") },
+			request: func() *http.Request { return keyedRequest("/book", "k1") },
 			status:  http.StatusOK,
-			wanted:  recorder.Records{Requests: 1, Runs: map[string]int{"k1": 1}},
+			want:    recorder.Records{Requests: 1, Runs: map[string]int{"k1": 1}},
 		},
 		"shed": {
 			behavior: server.Behavior{Shed: true},
-			request:  func() *http.Request { return keyed("/book", "k1") },
+			request:  func() *http.Request { return keyedRequest("/book", "k1") },
 			status:   http.StatusServiceUnavailable,
-			wanted:   recorder.Records{Shed: 1, Runs: map[string]int{}},
+			want:     recorder.Records{Shed: 1, Runs: map[string]int{}},
 		},
 		"expired": {
 			request: func() *http.Request {
-				r := keyed("/slow?for=1ms", "")
+				r := keyedRequest("/slow?for=1ms", "")
 				r.Header.Set(sycamorerun.HeaderDeadline, "0")
 				return r
 			},
 			status: http.StatusGatewayTimeout,
-			wanted: recorder.Records{Requests: 1, Expired: 1, Cancelled: 1, Runs: map[string]int{}},
+			want:   recorder.Records{Requests: 1, Expired: 1, Cancelled: 1, Runs: map[string]int{}},
 		},
 		"after the drain": {
 			behavior: server.Behavior{State: sycamorerun.StateDraining},
-			request:  func() *http.Request { return keyed("/x", "") },
+			request:  func() *http.Request { return keyedRequest("/x", "") },
 			status:   http.StatusOK,
-			wanted:   recorder.Records{Requests: 1, AfterDrain: 1, Runs: map[string]int{}},
+			want:     recorder.Records{Requests: 1, AfterDrain: 1, Runs: map[string]int{}},
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newServer()
-			s.Behave(c.behavior)
+			s.SetBehavior(c.behavior)
 			answer := httptest.NewRecorder()
 			s.Handler().ServeHTTP(answer, c.request())
 			is.Equal(answer.Code, c.status)
 			got := s.Recorder.Records()
-			is.Equal(got.Last.IsZero(), c.wanted.Requests == 0)
+			is.Equal(got.Last.IsZero(), c.want.Requests == 0)
 			got.LastAfterDrain, got.Last = 0, time.Time{}
-			is.Equal(got, c.wanted)
+			is.Equal(got, c.want)
 		})
 	}
 }
 
-func keyed(path, key string) *http.Request {
+func keyedRequest(path, key string) *http.Request {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(""))
 	r.Header.Set(sycamorerun.HeaderKey, key)
 	return r
 }
 
-// Guards against a control call that resets what it does not name.
+// Guards against a control call that resets fields which it doesn't contain.
 func TestControl(t *testing.T) {
 	is := is.New(t)
 	s := newServer()
-	s.Behave(server.Behavior{State: sycamorerun.StateReady, Delay: 3})
+	s.SetBehavior(server.Behavior{State: sycamorerun.StateReady, Delay: 3})
 	answer := httptest.NewRecorder()
 	s.Control().ServeHTTP(answer, httptest.NewRequest(http.MethodPut, "/behavior", strings.NewReader(`{"shed":true}`)))
 	is.Equal(answer.Code, http.StatusNoContent)
@@ -95,8 +95,8 @@
 	is.NoErr(json.Unmarshal(answer.Body.Bytes(), &records))
 }
 
-// Guards against a chain that stops early, counts no execution, drops the
-// attempt or the deadline on its way, or hides that its last link failed.
+// Guards against a chain that stops early, records no run, drops the attempt or
+// the deadline on its way, or hides the failure of its last link.
 func TestChain(t *testing.T) {
 	cases := map[string]struct {
 		behavior server.Behavior
@@ -113,7 +113,7 @@
 			is := is.New(t)
 			first, last := newServer(), newServer()
 			first.Slots = 2
-			last.Behave(c.behavior)
+			last.SetBehavior(c.behavior)
 			handlers := map[string]http.Handler{"first.example": first.Handler(), "last.example": last.Handler()}
 			node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				handlers[r.Host].ServeHTTP(w, r)
@@ -134,21 +134,21 @@
 			is.NoErr(json.Unmarshal(answer.Body.Bytes(), &chain))
 			is.Equal(chain.Links, c.links)
 			is.Equal(chain.Attempt, "2")
-			left, err := strconv.Atoi(chain.Deadline)
+			remaining, err := strconv.Atoi(chain.Deadline)
 			is.NoErr(err)
-			is.True(left > 0 && left <= 5000)
+			is.True(remaining > 0 && remaining <= 5000)
 		})
 	}
 }
 
-// Guards against runs and uploads that a killed upstream takes with it.
+// Guards against runs and uploads that are lost when an upstream is killed.
 func TestJournal(t *testing.T) {
 	is := is.New(t)
 	var journal bytes.Buffer
 	first, second := recorder.New(), recorder.New()
 	first.Journal, second.Journal = &journal, &journal
 	first.RecordRun("k1")
-	first.Upload("sum")
+	first.RecordUpload("sum")
 	second.RecordRun("k1")
 	records, err := recorder.Replay(&journal)
 	is.NoErr(err)
--- a/upstream/server/slot.go
+++ b/upstream/server/slot.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// take waits for a slot and reports whether there is one. Requests beyond the
-// slots wait in the queue; those beyond the queue, and those whose client goes
-// away first, get none.
-func (s *Server) take(ctx context.Context) bool {
-	s.once.Do(func() { s.slots = make(chan struct{}, s.Slots) })
+// acquireSlot waits for a slot and reports whether it got one. It returns false
+// if the queue is full or ctx ends first.
+func (s *Server) acquireSlot(ctx context.Context) bool {
+	s.initSlots.Do(func() { s.slots = make(chan struct{}, s.Slots) })
 	select {
 	case s.slots <- struct{}{}:
 		return true
@@ -28,16 +27,16 @@
 	}
 }
 
-// release gives a slot back.
-func (s *Server) release() { <-s.slots }
+// releaseSlot frees a slot.
+func (s *Server) releaseSlot() { <-s.slots }
 
-// slowed returns how long work takes now: after the start, Slowdown times as
-// long, which falls to the normal time within Cold.
-func (s *Server) slowed(work time.Duration) time.Duration {
+// withSlowdown returns the current duration of work: it is multiplied by Slowdown
+// at the start, and the factor falls linearly to 1 within Cold.
+func (s *Server) withSlowdown(work time.Duration) time.Duration {
 	age := s.Now().Sub(s.Started)
 	if s.Slowdown <= 1 || age >= s.Cold {
 		return work
 	}
-	rest := 1 - float64(age)/float64(s.Cold)
-	return time.Duration(float64(work) * (1 + (s.Slowdown-1)*rest))
+	coldFraction := 1 - float64(age)/float64(s.Cold)
+	return time.Duration(float64(work) * (1 + (s.Slowdown-1)*coldFraction))
 }
