--- a/objectstore/injector/injector.go
+++ b/objectstore/injector/injector.go
@@ -98,7 +98,8 @@
 	// always.
 	Fraction float64 `json:"fraction,omitempty"`
 	// Count is the number of faults after which the rule ends, 0 meaning never.
-	Count int                  `json:"count,omitempty"`
+	Count int `json:"count,omitempty"`
+	// Delay is the time for the kinds Delay and Late.
 	Delay sycamorerun.Duration `json:"delay,omitempty"`
 }
 
--- a/objectstore/injector/injector_test.go
+++ b/objectstore/injector/injector_test.go
@@ -66,7 +66,7 @@
 }
 
 // Guards against accepting a mistyped plan that injects nothing.
-func TestVerify(t *testing.T) {
+func TestValidate(t *testing.T) {
 	cases := map[string]Rule{
 		"kind":      {Kind: "refused"},
 		"operation": {Kind: Refuse, Operations: []Operation{"PUT"}},
--- a/upstream/server/server.go
+++ b/upstream/server/server.go
@@ -51,8 +51,9 @@
 	// Slowdown is the factor by which Work is longer at Started. It falls linearly
 	// to 1 within Cold.
 	Slowdown float64
-	Started  time.Time
-	Cold     time.Duration
+	// Started is the start of the upstream, and Cold is how long it is cold.
+	Started time.Time
+	Cold    time.Duration
 	// Probe is the time that a health probe takes.
 	Probe    time.Duration
 	Recorder *recorder.Recorder
