--- a/node/runner/announce.go
+++ b/node/runner/announce.go
@@ -14,119 +14,124 @@
 )
 
 const (
-	// unnamed is the id of an upstream that announces none.
-	unnamed = "upstream"
-	// presentInterval is the time between checks of the upstream's
-	// announcements. It adds to the time after which a silent upstream lapses.
-	presentInterval = 100 * time.Millisecond
-	// pauseLeast is the time between two checks from which the process counts
-	// as paused. A busy machine delays a check by some 100 ms.
-	pauseLeast = time.Second
+	// defaultUpstreamID is the id of an upstream that announces itself without one.
+	defaultUpstreamID = "upstream"
+	// refreshInterval is the time between checks of the upstream's announcements.
+	// It adds to the time after which an upstream that stopped announcing itself
+	// becomes unavailable.
+	refreshInterval = 100 * time.Millisecond
+	// minPause is the minimum time between two checks after which the process
+	// counts as paused. A busy machine delays a check by about 100 ms.
+	minPause = time.Second
 )
 
-// announce takes an announcement from the operators' API, which has no ids: an
-// upstream with another service can't be told from one that was misconfigured.
+// announce processes an announcement from the operators' API. Since these have no
+// ids, a new upstream of another service can't be distinguished from a misconfigured
+// one and is refused.
 func (n *node) announce(announcement manager.Announcement) error {
 	if announcement.ID == "" {
 		if current, ok := n.calls.upstream.service(); ok && current.Service != announcement.Service {
-			return errors.Errorf("this node serves %s already", current.Service)
+			return errors.Errorf("this node already serves %s", current.Service)
 		}
-		announcement.ID = unnamed
+		announcement.ID = defaultUpstreamID
 	}
-	if n.take(time.Now(), announcement) == announcer.Invalid {
-		return errors.New("the announcement names no upstream that can be used")
+	if n.processAnnouncement(time.Now(), announcement) == announcer.Invalid {
+		return errors.New("announcement has no usable service, address, state or number of slots")
 	}
 	return nil
 }
 
-// take takes an announcement. When it returns, no call starts at an upstream
-// that is draining or has left.
-func (n *node) take(now time.Time, announcement manager.Announcement) announcer.Outcome {
+// processAnnouncement applies an announcement of the local upstream. After it
+// returns, no call starts at an upstream that is draining or has left.
+func (n *node) processAnnouncement(now time.Time, announcement manager.Announcement) announcer.Outcome {
 	outcome := n.calls.upstream.announcer.Announce(now, announcer.Announcement(announcement))
 	if outcome == announcer.Accepted {
 		if own, ok := n.fleet.member(n.settings.Name); ok && !own.Serving() {
-			n.publisher.lapse(now)
+			n.publisher.markAbsent(now)
 		}
 	}
-	n.present(now)
-	n.taken(announcement.ID, announcement.State, outcome)
+	n.refreshUpstream(now)
+	n.logAnnouncement(announcement.ID, announcement.State, outcome)
 	return outcome
 }
 
-// depart takes the departure of the upstream. When it returns, no call starts
-// there.
-func (n *node) depart(now time.Time, id string) announcer.Outcome {
+// processDeparture applies the departure of the local upstream. After it returns, no
+// call starts there.
+func (n *node) processDeparture(now time.Time, id string) announcer.Outcome {
 	outcome := n.calls.upstream.announcer.Leave(now, id)
-	n.present(now)
-	n.taken(id, sycamorerun.StateLeft, outcome)
+	n.refreshUpstream(now)
+	n.logAnnouncement(id, sycamorerun.StateLeft, outcome)
 	return outcome
 }
 
-func (n *node) taken(id string, state sycamorerun.State, outcome announcer.Outcome) {
-	_ = level.Debug(n.logger).Log("msg", "announcement taken", "upstream", id, "state", state, "outcome", outcome)
+func (n *node) logAnnouncement(id string, state sycamorerun.State, outcome announcer.Outcome) {
+	_ = level.Debug(n.logger).Log("msg", "announcement processed", "upstream", id, "state", state, "outcome", outcome)
 }
 
-// watchUpstream applies the passing of time to the upstream's announcements.
+// watchUpstream periodically expires the upstream's announcements and refreshes the
+// upstream until ctx ends.
 func (n *node) watchUpstream(ctx context.Context) error {
-	ticker := time.NewTicker(presentInterval)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for last := time.Now(); ; {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			// After a pause of this process, announcements wait to be read.
-			if now.Sub(last) < pauseLeast {
+			// After a pause of this process, received announcements may still be
+			// unread, so nothing expires.
+			if now.Sub(last) < minPause {
 				n.calls.upstream.announcer.Expire(now)
 			}
 			last = now
-			n.present(now)
+			n.refreshUpstream(now)
 		}
 	}
 }
 
-// present puts the upstream in use in force: it opens or closes the entrance,
-// sets the limits and tells the members.
-func (n *node) present(now time.Time) {
-	n.presenting.Lock()
-	defer n.presenting.Unlock()
-	if !n.presented.IsZero() && now.Sub(n.presented) >= lapseDelay {
-		// This process was paused, and others may have executed its keys.
-		n.publisher.lapse(now)
+// refreshUpstream applies the current state of the upstream: it starts or stops
+// admitting calls, sets the limits and publishes the advertisement to the members.
+func (n *node) refreshUpstream(now time.Time) {
+	n.refreshMutex.Lock()
+	defer n.refreshMutex.Unlock()
+	if !n.lastRefresh.IsZero() && now.Sub(n.lastRefresh) >= absenceThreshold {
+		// This process was paused. Other members may have executed calls with its
+		// keys meanwhile.
+		n.publisher.markAbsent(now)
 	}
-	n.presented = now
+	n.lastRefresh = now
 	upstream, ok := n.calls.upstream.announcer.Current()
-	shown := presence{upstream.Service, upstream.State, upstream.Slots}
+	next := advertisement{upstream.Service, upstream.State, upstream.Slots}
 	if !ok {
-		// The node stays a member; only its upstream is gone.
-		shown.state = sycamorerun.StateNone
+		// The node remains a member without an upstream.
+		next.state = sycamorerun.StateNone
 	}
-	if shown.serving() {
-		shown.slots = n.resize(manager.Announcement(upstream))
+	if next.serving() {
+		next.slots = n.updateLimits(manager.Announcement(upstream))
 	} else {
-		// Calls that entered the queue beside the last refusal are refused by
-		// the next check.
+		// A call that is queued concurrently with this Drain is refused by the
+		// next refresh.
 		n.calls.upstream.close()
 		n.calls.limiter.Drain(limiter.Draining)
 	}
 	if upstream.Service == "" {
 		return
 	}
-	// The record has the slots that the limiter uses. More of them than the
-	// service allows would only attract calls that are refused.
-	shown.state = n.visible(shown.state)
-	if shown != n.shown {
-		level.Info(n.logger).Log("msg", "upstream announced", "upstream", upstream.ID, "service", shown.service, "state", shown.state, "slots", shown.slots)
-		n.shown = shown
+	// The record has the slots that the limiter uses. A larger number would only
+	// attract calls that are then refused.
+	next.state = n.advertisedState(next.state)
+	if next != n.advertised {
+		level.Info(n.logger).Log("msg", "upstream advertisement changed", "upstream", upstream.ID, "service", next.service, "state", next.state, "slots", next.slots)
+		n.advertised = next
 	}
-	n.publisher.want(shown)
+	n.publisher.setDesired(next)
 }
 
-// visible returns the state that the members are told. While the node drains,
-// its upstream counts as draining whatever it says, and a node without the
-// newest version takes no calls for its upstream.
-func (n *node) visible(state sycamorerun.State) sycamorerun.State {
-	serving := presence{state: state}.serving()
+// advertisedState returns the state to publish for an upstream in the given state.
+// While the node drains, a serving upstream is published as draining. Until the node
+// has the newest version, a serving upstream is published as none.
+func (n *node) advertisedState(state sycamorerun.State) sycamorerun.State {
+	serving := advertisement{state: state}.serving()
 	switch phase := n.phase.Load(); {
 	case serving && phase == manager.PhaseStarting:
 		return sycamorerun.StateNone
@@ -136,9 +141,10 @@
 	return state
 }
 
-// resize takes the limits of the announced upstream's service and returns the
-// slots. Calls that wait for an upstream of another service are refused.
-func (n *node) resize(announcement manager.Announcement) int {
+// updateLimits applies the limits of the announced upstream's service and returns
+// the number of slots. If the upstream replaces one of another service, it refuses
+// the calls that wait for that upstream.
+func (n *node) updateLimits(announcement manager.Announcement) int {
 	service, known := n.applier.Current().Table.Service(announcement.Service)
 	limits, replaced := n.calls.upstream.update(announcement, service, known)
 	if replaced {
--- a/node/runner/announce_test.go
+++ b/node/runner/announce_test.go
@@ -21,11 +21,11 @@
 	"sycamorerun/node/manager"
 )
 
-// readyNode returns a node that is ready and not running.
+// readyNode returns a node that is in the ready phase but not running.
 func readyNode(t *testing.T, changes ...func(*Settings)) *node {
 	t.Helper()
 	settings := Settings{
-		Name: "n", AvailabilityZone: "z", Region: "r", Callers: free(t), Peers: free(t), Operators: free(t), Store: free(t),
+		Name: "n", AvailabilityZone: "z", Region: "r", Callers: freeAddress(t), Peers: freeAddress(t), Operators: freeAddress(t), Store: freeAddress(t),
 		Insecure: true, Mode: "tree", KeyWindow: time.Minute, AnnouncePeriod: 1500 * time.Millisecond,
 	}
 	for _, change := range changes {
@@ -41,8 +41,8 @@
 
 func (n *node) state() sycamorerun.State { return n.tracker.Live(time.Now())[0].State }
 
-// Guards against a confirmed departure after which a request still starts at
-// the upstream, and against one that breaks off requests that run.
+// Guards against requests that start at the upstream after its departure was
+// confirmed, and against a departure that interrupts running requests.
 func TestConfirmedDeparture(t *testing.T) {
 	ready := func(boot int64) manager.Announcement {
 		return manager.Announcement{ID: "a", Service: "s", State: sycamorerun.StateReady, Slots: 2, Sequence: 1, Boot: boot}
@@ -92,11 +92,11 @@
 				}
 				return err
 			}
-			is.Equal(acquire(), "") // runs
+			is.Equal(acquire(), "") // the running request
 			running := make(chan error, 1)
 			go func() { running <- send() }()
 			<-started
-			is.Equal(acquire(), "") // is admitted and not yet sent
+			is.Equal(acquire(), "") // admitted, but not sent before the departure
 			waiting := make(chan string, 1)
 			go func() { waiting <- acquire() }()
 			for n.calls.limiter.Load().Queued == 0 {
@@ -114,7 +114,7 @@
 			is.True(errors.Is(send(), forwarder.ErrDraining))
 			is.Equal(n.state(), c.state)
 			announcement.Sequence = 3
-			is.True(n.api().Announce(time.Now(), announcement) != announcer.Accepted) // late
+			is.True(n.api().Announce(time.Now(), announcement) != announcer.Accepted) // a late announcement
 			is.Equal(acquire(), "draining")
 			close(proceed)
 			is.NoErr(<-running)
@@ -123,13 +123,13 @@
 	}
 }
 
-// Guards against calls to an address at which nothing listens any more, or
-// another instance does, until its announcement expires, and against an upstream
-// that stays in use after that.
-func TestDropped(t *testing.T) {
+// Guards against calls to an address at which nothing or another instance listens,
+// until the announcement expires, and against an upstream that stays in use after its
+// announcement has expired.
+func TestUnavailable(t *testing.T) {
 	cases := map[string]func(t *testing.T) netip.AddrPort{
-		"refused": free,
-		"silent":  free,
+		"refused": freeAddress,
+		"silent":  freeAddress,
 		"misdirected": func(t *testing.T) netip.AddrPort {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(http.StatusMisdirectedRequest)
@@ -144,12 +144,12 @@
 			n := readyNode(t)
 			n.calls.forwarder.Contract.Target, n.calls.forwarder.Contract.Unexecuted = "X-Target", "X-Unexecuted"
 			in := manager.Announcement{ID: "a", Service: "s", Address: address(t), State: sycamorerun.StateReady, Slots: 2, Sequence: 1, Boot: 5}
-			is.Equal(n.take(time.Now(), in), announcer.Accepted)
+			is.Equal(n.processAnnouncement(time.Now(), in), announcer.Accepted)
 			for range 2 {
 				if name == "silent" {
-					lapsed := time.Now().Add(3 * n.settings.AnnouncePeriod)
-					n.calls.upstream.announcer.Expire(lapsed)
-					n.present(lapsed)
+					expired := time.Now().Add(3 * n.settings.AnnouncePeriod)
+					n.calls.upstream.announcer.Expire(expired)
+					n.refreshUpstream(expired)
 					break
 				}
 				request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://upstream/", nil)
@@ -162,7 +162,7 @@
 			is.Equal(n.state(), sycamorerun.StateNone)
 			is.True(!n.calls.upstream.admits("s"))
 			in.Sequence = 2
-			is.Equal(n.take(time.Now(), in), announcer.Accepted)
+			is.Equal(n.processAnnouncement(time.Now(), in), announcer.Accepted)
 			is.Equal(n.state(), sycamorerun.StateReady)
 			is.True(n.calls.upstream.admits("s"))
 		})
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -19,7 +19,7 @@
 	"sycamorerun/node/router"
 )
 
-// calls holds the slices of the data path.
+// calls holds the components of the data path.
 type calls struct {
 	forwarder    *forwarder.Forwarder
 	balancer     *balancer.Balancer
@@ -30,18 +30,18 @@
 	listener     *listener.Listener
 }
 
-// setLimits applies the limits for callers to requests that begin from now on.
+// setLimits applies the limits for callers to all requests that begin after the call.
 func (c *calls) setLimits(limits sycamorerun.Limits) {
 	c.forwarder.SetLimits(limits)
 	c.listener.SetLimits(limits)
 }
 
-// newCalls wires the data path over the configuration in force and the
-// members of each service.
-func newCalls(now time.Time, inForce func() *Settings, current func() *applier.State, instances func(service string) []sycamorerun.Instance, members func() []sycamorerun.Instance) *calls {
-	settings := inForce()
+// newCalls wires the data path. The functions current, instances and members return
+// the active configuration, the serving members of a service and all live members.
+func newCalls(now time.Time, activeSettings func() *Settings, current func() *applier.State, instances func(service string) []sycamorerun.Instance, members func() []sycamorerun.Instance) *calls {
+	settings := activeSettings()
 	c := &calls{upstream: &localUpstream{
-		announcer: announcer.New(func() time.Duration { return inForce().AnnouncePeriod }),
+		announcer: announcer.New(func() time.Duration { return activeSettings().AnnouncePeriod }),
 	}}
 	service := func(name string) (sycamorerun.Service, bool) { return current().Table.Service(name) }
 
@@ -53,13 +53,13 @@
 	c.retrier.Budget = retrier.Budget{Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack}
 	c.retrier.Members = func() int { return len(members()) }
 	c.retrier.MemberIndex = func() int {
-		place := 0
+		index := 0
 		for _, member := range members() {
 			if member.Name < settings.Name {
-				place++
+				index++
 			}
 		}
-		return place
+		return index
 	}
 	c.balancer = balancer.New(settings.AvailabilityZone, settings.Region)
 	c.balancer.Instances = instances
@@ -91,13 +91,13 @@
 		return c.balancer.Pick(now, balancer.Query(query))
 	}
 	f.Observe = func(now time.Time, o forwarder.Observation) {
-		c.balancer.Observe(now, observation(o))
+		c.balancer.Observe(now, balancerObservation(o))
 		if o.Result == sycamorerun.Answered {
 			c.retrier.RecordRunTime(now, o.Service, o.HeadLatency)
 		}
 	}
-	f.HasOtherInstance = func(service string, than []string) bool { return others(instances(service), than) }
-	f.Owner = func(service, key string) (sycamorerun.Instance, bool) { return owner(instances(service), key) }
+	f.HasOtherInstance = func(service string, excluded []string) bool { return hasOther(instances(service), excluded) }
+	f.Owner = func(service, key string) (sycamorerun.Instance, bool) { return keyOwner(instances(service), key) }
 	f.CountCall = c.retrier.RecordCall
 	f.AllowRetry = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
 		return c.retrier.Allow(now, retrier.Attempt{
@@ -106,11 +106,11 @@
 			Repeatable: a.Repeatable, Consumed: a.Consumed, ResponseStarted: a.ResponseStarted,
 		})
 	}
-	f.Acquire = func(ctx context.Context, now time.Time, want forwarder.SlotRequest) (func(), forwarder.Rejection) {
+	f.Acquire = func(ctx context.Context, now time.Time, request forwarder.SlotRequest) (func(), forwarder.Rejection) {
 		if !c.upstream.admits(forwarder.ServiceOf(ctx)) {
 			return nil, forwarder.Rejection{Reason: limiter.Draining}
 		}
-		release, refusal := c.limiter.Acquire(ctx, now, limiter.Request(want))
+		release, refusal := c.limiter.Acquire(ctx, now, limiter.Request(request))
 		return release, forwarder.Rejection(refusal)
 	}
 	f.Load = func(match forwarder.Match) *forwarder.Load {
@@ -121,10 +121,10 @@
 		}
 	}
 	f.Begin = func(now time.Time, claim forwarder.Claim) sycamorerun.Decision {
-		return c.deduplicator.Begin(now, claim.ID, key(claim))
+		return c.deduplicator.Begin(now, claim.ID, deduplicatorKey(claim))
 	}
-	f.Finish = func(now time.Time, claim forwarder.Claim, ending forwarder.Completion) {
-		c.deduplicator.Finish(now, claim.ID, key(claim), deduplicator.Result(ending))
+	f.Finish = func(now time.Time, claim forwarder.Claim, completion forwarder.Completion) {
+		c.deduplicator.Finish(now, claim.ID, deduplicatorKey(claim), deduplicator.Result(completion))
 	}
 	f.Refuse = func(now time.Time, id string, age time.Duration) forwarder.CallState {
 		return forwarder.CallState(c.deduplicator.Refuse(now, id, age))
@@ -133,7 +133,7 @@
 	return c
 }
 
-// match finds the route of a request and what the forwarder needs of it.
+// match returns the properties of a request's route, and whether there is a route.
 func match(table *router.Table, request *http.Request) (forwarder.Match, bool) {
 	found, ok := table.Match(router.Request{
 		Method: request.Method, Host: request.Host, Path: request.URL.Path,
@@ -146,7 +146,7 @@
 	}, ok
 }
 
-func observation(o forwarder.Observation) balancer.Observation {
+func balancerObservation(o forwarder.Observation) balancer.Observation {
 	result := balancer.Observation{
 		Instance: o.Instance, Service: o.Service, Result: o.Result, Reason: o.Reason, Status: o.Status,
 		After: o.RetryAfter, Rank: o.Rank, Objective: o.Objective,
@@ -160,15 +160,15 @@
 	return result
 }
 
-// others reports whether a member that takes calls is not among those named.
-func others(members []sycamorerun.Instance, than []string) bool {
+// hasOther reports whether a serving member is not among the excluded names.
+func hasOther(members []sycamorerun.Instance, excluded []string) bool {
 	return slices.ContainsFunc(members, func(member sycamorerun.Instance) bool {
-		return member.Serving() && !slices.Contains(than, member.Name)
+		return member.Serving() && !slices.Contains(excluded, member.Name)
 	})
 }
 
-// owner returns the member that executes the calls with key.
-func owner(members []sycamorerun.Instance, key string) (sycamorerun.Instance, bool) {
+// keyOwner returns the member that executes calls with key.
+func keyOwner(members []sycamorerun.Instance, key string) (sycamorerun.Instance, bool) {
 	name := deduplicator.Owner(key, names(members))
 	for _, member := range members {
 		if member.Name == name {
@@ -186,6 +186,6 @@
 	return result
 }
 
-func key(claim forwarder.Claim) deduplicator.Key {
+func deduplicatorKey(claim forwarder.Claim) deduplicator.Key {
 	return deduplicator.Key{Name: claim.Key, Print: claim.Fingerprint}
 }
--- a/node/runner/fleet.go
+++ b/node/runner/fleet.go
@@ -8,14 +8,14 @@
 	"sycamorerun/node/planner"
 )
 
-// fleet is this node's view of the members, derived once for each change.
+// fleet holds this node's view of the members, which is recomputed on each change.
 type fleet struct {
-	// options are those of the plan; set before the first update.
+	// options are the planner options. They are set before the first membership change.
 	options planner.Options
 	view    atomic.Pointer[view]
 }
 
-// view is immutable.
+// view is a snapshot of the members and the plan over them. It is immutable.
 type view struct {
 	plan      planner.Plan
 	live      []sycamorerun.Instance
@@ -29,8 +29,8 @@
 	return f
 }
 
-// update takes the live members and those among them that the plan is made
-// over.
+// update replaces the view by one of the live members. The plan is computed over the
+// reachable ones among them.
 func (f *fleet) update(self string, live, reachable []sycamorerun.Instance) {
 	next := &view{
 		plan:      planner.New(self, reachable, f.options),
@@ -56,16 +56,16 @@
 	return member, ok
 }
 
-// serving returns the members of a service that take calls. The slice is
-// shared and must not be changed.
+// serving returns the members of a service that accept calls. The slice is shared
+// and must not be modified.
 func (f *fleet) serving(service string) []sycamorerun.Instance {
 	return f.view.Load().byService[service]
 }
 
-// upstreams returns the number of members of a service that take calls.
-func (f *fleet) upstreams(service string) int { return len(f.serving(service)) }
+// servingCount returns the number of members of a service that accept calls.
+func (f *fleet) servingCount(service string) int { return len(f.serving(service)) }
 
-// others returns the names of the live members but for self.
-func (f *fleet) others(self string) []string {
+// otherNames returns the names of the live members except self.
+func (f *fleet) otherNames(self string) []string {
 	return slices.DeleteFunc(names(f.live()), func(name string) bool { return name == self })
 }
--- a/node/runner/keys.go
+++ b/node/runner/keys.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// joinTimeout bounds the time for which an upstream that is ready gets no
-	// calls since members have not handed over its keys.
+	// joinTimeout bounds the time for which a ready upstream receives no calls
+	// because other members have not handed over its keys.
 	joinTimeout = 3 * time.Second
-	// meetTimeout bounds the wait of a node for the first other member of its
-	// service, before it takes over keys. It covers the exchange of records with
-	// a peer in another region. A node that hears of none is taken to be the only
-	// one.
-	meetTimeout = 500 * time.Millisecond
-	// meetStep is the time between two looks at the members.
-	meetStep = 20 * time.Millisecond
-	// handOverTimeout bounds the time by which the announcement of a drain is
-	// late for the hand-over of the keys.
-	handOverTimeout = time.Second
+	// firstMemberTimeout bounds the time for which a node waits for the record of
+	// another member of its service before it takes over keys. It covers the
+	// exchange of records with a peer in another region. A node that learns of no
+	// member within this time assumes that it is the only one.
+	firstMemberTimeout = 500 * time.Millisecond
+	// memberPollInterval is the interval at which the wait checks the members.
+	memberPollInterval = 20 * time.Millisecond
+	// transferTimeout bounds the time by which handing over the keys delays the
+	// announcement of a drain.
+	transferTimeout = time.Second
 )
 
-// wireKeys hands keys over when the upstream here comes or goes.
+// wireKeys sets up the transfer of keys for when the local upstream starts or stops
+// serving.
 func (n *node) wireKeys() {
 	n.keys = &deduplicator.Exchanger{
 		Records: n.calls.deduplicator,
@@ -39,7 +40,7 @@
 		Members: func() []deduplicator.Member {
 			announcement, _ := n.calls.upstream.service()
 			self := func(member deduplicator.Member) bool { return member.Name == n.settings.Name }
-			return slices.DeleteFunc(executors(n.fleet.serving(announcement.Service)), self)
+			return slices.DeleteFunc(keyMembers(n.fleet.serving(announcement.Service)), self)
 		},
 		Open: func(ctx context.Context, peer string) (net.Conn, error) {
 			member, ok := n.fleet.member(peer)
@@ -51,48 +52,48 @@
 		Now: time.Now, Logger: n.logger, Scope: n.scope,
 	}
 	n.publisher = &publisher{
-		publish: func(p presence) { n.tracker.Announce(time.Now(), p.service, p.state, p.slots) },
-		join:    n.takeKeys,
-		keyless: !n.settings.Keys,
+		publish:      func(p advertisement) { n.tracker.Announce(time.Now(), p.service, p.state, p.slots) },
+		join:         n.acquireKeys,
+		keysDisabled: !n.settings.Keys,
 		leave: func() {
-			limited, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 			defer cancel()
-			n.keys.Leave(limited)
+			n.keys.Leave(ctx)
 		},
 	}
 }
 
-// takeKeys takes over the keys that this node owns once its upstream serves.
-// In a fleet without a version there are no routes, and no call with a key can
-// have run.
-func (n *node) takeKeys() {
-	limited, cancel := context.WithTimeout(context.Background(), joinTimeout)
+// acquireKeys takes over the keys that this node owns once its upstream serves. In a
+// fleet without a version there are no routes, so no call with a key can have run.
+func (n *node) acquireKeys() {
+	ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 	defer cancel()
 	if n.applier.Current().Tree.Version > 0 {
-		n.awaitMember(limited)
+		n.waitForMember(ctx)
 	}
-	n.keys.Join(limited)
+	n.keys.Join(ctx)
 	if n.applier.Current().Tree.Version == 0 {
 		n.calls.deduplicator.StartClean()
 	}
 }
 
-// awaitMember waits until this node has heard of another member of its service.
-// The configuration can arrive before the members' records; a join with nobody
-// to ask leaves every key unknown for the key window.
-func (n *node) awaitMember(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, meetTimeout)
+// waitForMember waits until this node knows another member of its service. The
+// configuration can arrive before the records of the members, and a join without
+// another member leaves the state of every key unknown for the key window.
+func (n *node) waitForMember(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, firstMemberTimeout)
 	defer cancel()
 	for len(n.keys.Members()) == 0 && ctx.Err() == nil {
 		select {
-		case <-time.After(meetStep):
+		case <-time.After(memberPollInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// executors names the processes that execute the keys of a service.
-func executors(instances []sycamorerun.Instance) []deduplicator.Member {
+// keyMembers returns the processes that execute calls with keys, which are identified
+// by name and boot.
+func keyMembers(instances []sycamorerun.Instance) []deduplicator.Member {
 	members := make([]deduplicator.Member, len(instances))
 	for i, instance := range instances {
 		members[i] = deduplicator.Member{Name: instance.Name, Boot: int64(instance.Incarnation.Boot())}
--- a/node/runner/keys_test.go
+++ b/node/runner/keys_test.go
@@ -10,38 +10,38 @@
 	"sycamorerun/node/deduplicator"
 )
 
-// Guards against a node that takes over keys before it has heard of the other
-// members of its service, which leaves all of them unknown, and against one that
-// waits for members that don't exist.
+// Guards against a node that takes over keys before it knows another member of its
+// service, which leaves the state of all keys unknown, and against a node that waits
+// too long for members that don't exist.
 func TestKeysWaitForMembers(t *testing.T) {
-	const met = 100 * time.Millisecond
+	const memberDelay = 100 * time.Millisecond
 	cases := map[string]struct {
-		members     bool
-		least, most time.Duration
+		members          bool
+		minWait, maxWait time.Duration
 	}{
-		"first member later": {members: true, least: met, most: meetTimeout},
-		"the only node":      {least: meetTimeout, most: joinTimeout},
+		"first member later": {members: true, minWait: memberDelay, maxWait: firstMemberTimeout},
+		"the only node":      {minWait: firstMemberTimeout, maxWait: joinTimeout},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			n := readyNode(t)
-			began := time.Now()
+			start := time.Now()
 			n.keys.Members = func() []deduplicator.Member {
-				if c.members && time.Since(began) >= met {
+				if c.members && time.Since(start) >= memberDelay {
 					return []deduplicator.Member{{Name: "other"}}
 				}
 				return nil
 			}
-			n.awaitMember(context.Background())
-			took := time.Since(began)
-			is.True(took >= c.least)
-			is.True(took <= c.most)
+			n.waitForMember(context.Background())
+			took := time.Since(start)
+			is.True(took >= c.minWait)
+			is.True(took <= c.maxWait)
 		})
 	}
-	// A fleet without a version has no calls whose keys could be taken over.
+	// A fleet without a version has run no calls with keys, so there is no wait.
 	is := is.New(t)
-	began := time.Now()
-	readyNode(t).takeKeys()
-	is.True(time.Since(began) < meetTimeout)
+	start := time.Now()
+	readyNode(t).acquireKeys()
+	is.True(time.Since(start) < firstMemberTimeout)
 }
--- a/node/runner/limits_test.go
+++ b/node/runner/limits_test.go
@@ -13,9 +13,9 @@
 	"sycamorerun/differ"
 )
 
-// Guards against limits of the configuration that don't reach the callers'
-// connections, or that stay when a version takes them back, and against settings
-// that are read again and override them.
+// Guards against limits of the configuration that are not applied to connections of
+// callers or that remain after a version removes them, and against reloaded settings
+// that override them.
 func TestLimits(t *testing.T) {
 	is := is.New(t)
 	n := readyNode(t, func(s *Settings) {
@@ -28,9 +28,9 @@
 		stop()
 		is.NoErr(<-ended)
 	}()
-	// send returns the reason and the time for which the connection is kept.
-	send := func(header, body int) (reason, kept string) {
-		for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	// send returns the reason and the Keep-Alive header of the response.
+	send := func(header, body int) (reason, keepAlive string) {
+		for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 			r, err := http.NewRequest(http.MethodPost, "http://"+n.settings.Callers.String(), strings.NewReader(strings.Repeat("x", body)))
 			is.NoErr(err)
 			r.Header.Set("X", strings.Repeat("x", header))
@@ -39,26 +39,26 @@
 				_ = response.Body.Close()
 				return response.Header.Get(sycamorerun.HeaderReason), response.Header.Get("Keep-Alive")
 			}
-			is.True(time.Since(begun) < 5*time.Second)
+			is.True(time.Since(start) < 5*time.Second)
 		}
 	}
 	install := func(version sycamorerun.Version, items map[sycamorerun.Path]sycamorerun.Item) {
 		tree := sycamorerun.Tree{Version: version, Items: items}
 		is.NoErr(n.applier.Install(time.Now(), tree, differ.Hash(items)))
 	}
-	check := func(header, body int, want, wantKept string) {
+	check := func(header, body int, wantReason, wantKeepAlive string) {
 		t.Helper()
-		reason, kept := send(header, body)
-		is.Equal(reason, want)
-		is.Equal(kept, wantKept)
+		reason, keepAlive := send(header, body)
+		is.Equal(reason, wantReason)
+		is.Equal(keepAlive, wantKeepAlive)
 	}
-	own := func() {
+	checkDefaults := func() {
 		t.Helper()
 		check(20<<10, 0, "no-route", "timeout=60")
 		check(40<<10, 0, "headers-too-large", "")
 		check(0, 101, "body-too-large", "")
 	}
-	own()
+	checkDefaults()
 	install(1, map[sycamorerun.Path]sycamorerun.Item{
 		sycamorerun.LimitsPath: sycamorerun.Item(`{"header":16384,"idle":"7.5s"}`),
 	})
@@ -66,12 +66,12 @@
 	check(18<<10, 0, "headers-too-large", "timeout=7")
 	check(22<<10, 0, "headers-too-large", "")
 	check(0, 101, "body-too-large", "")
-	changed := *n.inForce.Load()
+	changed := *n.activeSettings.Load()
 	changed.MaxHeader, changed.MaxBody = 64<<10, 1000
-	n.tune(update{changed, []string{"max-header", "max-body"}})
+	n.applyUpdate(settingsUpdate{changed, []string{"max-header", "max-body"}})
 	check(18<<10, 0, "headers-too-large", "timeout=7")
 	check(0, 1001, "body-too-large", "")
-	n.tune(update{n.settings, []string{"max-header", "max-body"}})
+	n.applyUpdate(settingsUpdate{n.settings, []string{"max-header", "max-body"}})
 	install(2, nil)
-	own()
+	checkDefaults()
 }
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -36,35 +36,36 @@
 // kindTracker is the stream kind of the membership protocol.
 const kindTracker = "tracker"
 
-// node holds the slices of one node and wires them.
+// node holds the components of one node and wires them.
 type node struct {
 	settings Settings
-	// updates brings settings that were read again; inForce has them applied to
-	// settings.
-	updates  <-chan update
-	setLevel func(least string)
-	inForce  atomic.Pointer[Settings]
-	self     sycamorerun.Instance
-	logger   log.Logger
-	scope    tally.Scope
-	store    persister.Store
-	// document is the operators' document; nil selects the log in the store.
+	// updates delivers reloaded settings. activeSettings holds settings with all
+	// updates applied.
+	updates        <-chan settingsUpdate
+	setLevel       func(minimum string)
+	activeSettings atomic.Pointer[Settings]
+	self           sycamorerun.Instance
+	logger         log.Logger
+	scope          tally.Scope
+	store          persister.Store
+	// document is the source of the operators' document. If it is nil, versions
+	// come from the log in the store.
 	document *distributor.Document
-	// handlers serve further addresses, by address.
+	// handlers holds the constructors of handlers for additional listen addresses.
 	handlers map[netip.AddrPort]func(API) http.Handler
 	phase    atomic.Value
-	// unversioned is set on a node that is stopped before it has a version.
-	unversioned atomic.Bool
-	parsing     sync.Mutex
-	// limiting orders changes of the limits for callers.
-	limiting sync.Mutex
-	// presenting guards shown, the presence that was published last, and the
-	// time of that.
-	presenting sync.Mutex
-	shown      presence
-	presented  time.Time
-	// reporting is set reportDelay after the node became ready.
-	reporting atomic.Bool
+	// stoppedBeforeReady is set if the node is stopped before it has a version.
+	stoppedBeforeReady atomic.Bool
+	parseMutex         sync.Mutex
+	// limitsMutex serializes changes of the limits for callers.
+	limitsMutex sync.Mutex
+	// refreshMutex serializes refreshUpstream. It guards lastRefresh and the
+	// advertisement that was last passed to the publisher.
+	refreshMutex sync.Mutex
+	advertised   advertisement
+	lastRefresh  time.Time
+	// reportingEnabled is set reportDelay after the node has become ready.
+	reportingEnabled atomic.Bool
 
 	fleet         *fleet
 	connector     *connector.Connector
@@ -81,19 +82,19 @@
 	publisher     *publisher
 }
 
-// newNode wires a node that starts at now.
+// newNode returns a wired node that starts at now.
 func newNode(now time.Time, r *Runner, logger log.Logger, scope tally.Scope, metrics http.Handler) (*node, error) {
 	settings := r.settings
-	security, err := loadTLS(settings)
+	tlsConfig, err := loadTLS(settings)
 	if err != nil {
 		return nil, err
 	}
-	credentials, err := authenticator.New(settings.AdminHash)
+	auth, err := authenticator.New(settings.AdminHash)
 	if err != nil {
 		return nil, err
 	}
 	n := &node{
-		settings: settings, logger: logger, scope: scope, authenticator: credentials,
+		settings: settings, logger: logger, scope: scope, authenticator: auth,
 		self: sycamorerun.Instance{
 			Name: settings.Name, Incarnation: sycamorerun.NewIncarnation(max(1, rand.Uint32())), Address: settings.Peers,
 			AvailabilityZone: settings.AvailabilityZone, Region: settings.Region,
@@ -105,13 +106,13 @@
 	if r.Store != nil {
 		n.store = *r.Store
 	}
-	n.inForce.Store(&settings)
+	n.activeSettings.Store(&settings)
 	n.phase.Store(manager.PhaseStarting)
 	n.fleet = newFleet(n.self)
 	n.fleet.options = planner.Options{Watchers: settings.Watchers}
-	n.applier = &applier.Applier{Validate: new(validator.Checker).Check, Changed: n.configured, Logger: logger, Scope: scope}
-	n.calls = newCalls(now, n.inForce.Load, n.applier.Current, n.fleet.serving, n.fleet.live)
-	n.setLevel = r.events.SetLevel
+	n.applier = &applier.Applier{Validate: new(validator.Checker).Check, Changed: n.configurationChanged, Logger: logger, Scope: scope}
+	n.calls = newCalls(now, n.activeSettings.Load, n.applier.Current, n.fleet.serving, n.fleet.live)
+	n.setLevel = r.logger.SetLevel
 	if r.Contract != nil {
 		n.calls.forwarder.Contract = *r.Contract
 		if !settings.Keys {
@@ -126,10 +127,10 @@
 	n.wireKeys()
 	n.wireDistribution()
 	n.wireAcceptance()
-	n.wireConnector(security)
+	n.wireConnector(tlsConfig)
 	n.wireManager(metrics)
 	n.calls.forwarder.Open = n.connector.Open
-	n.calls.upstream.changed = n.present
+	n.calls.upstream.onChange = n.refreshUpstream
 	return n, nil
 }
 
@@ -160,14 +161,14 @@
 	d := distributor.New()
 	d.Self = n.settings.Name
 	d.Mode = distributor.Mode(n.settings.Mode)
-	d.StandbyDelay = func() time.Duration { return n.inForce.Load().StandbyDelay }
+	d.StandbyDelay = func() time.Duration { return n.activeSettings.Load().StandbyDelay }
 	d.Store = n.store
 	d.Document = n.document
 	d.PublishDistance = n.tracker.SetDistance
 	d.Current = n.current
 	d.Apply, d.Install = n.apply, n.applier.Install
 	d.Plan = n.fleet.plan
-	d.Peers = func() []string { return n.fleet.others(n.settings.Name) }
+	d.Peers = func() []string { return n.fleet.otherNames(n.settings.Name) }
 	d.Logger, d.Scope = n.logger, n.scope
 	d.Open = func(ctx context.Context, peer, kind string) (net.Conn, error) {
 		member, ok := n.fleet.member(peer)
@@ -191,11 +192,11 @@
 	n.acceptor = a
 }
 
-// convergenceBuckets cover 1 ms to 65 s; the users' bound is 7 s.
+// convergenceBuckets ranges from 1 ms to 65 s. Users require convergence within 7 s.
 var convergenceBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 17)
 
-// apply puts an entry in force and records the time since its acceptance. It
-// compares the clocks of two instances, so their skew is part of the figure.
+// apply applies an entry and records the time since the entry was committed. The
+// measured time includes the clock skew between the two instances.
 func (n *node) apply(now time.Time, entry sycamorerun.Entry) error {
 	before := n.applier.Current().Tree.Version
 	if err := n.applier.Apply(now, entry); err != nil {
@@ -212,54 +213,55 @@
 	return state.Tree, state.Hash
 }
 
-// membersChanged derives the view of the fleet again and tells the slices
-// that depend on it.
+// membersChanged recomputes the view of the fleet and notifies the components that
+// depend on it.
 func (n *node) membersChanged() {
 	now := time.Now()
 	n.fleet.update(n.settings.Name, n.tracker.Live(now), n.tracker.Reachable(now))
 	n.distributor.Replan()
-	n.membersMoved(now)
-	n.report(now)
+	n.updateKeyMembers(now)
+	n.reportRoutes(now)
 }
 
-// newReporter returns a reporter over the configuration in force and the
-// members that calls go to.
+// newReporter returns a reporter of the routes in the active configuration and of
+// the serving members.
 func newReporter(current func() *applier.State, members *fleet) *reporter.Reporter {
 	return &reporter.Reporter{
 		Table:     func() *router.Table { return current().Table },
-		Upstreams: members.upstreams,
+		Upstreams: members.servingCount,
 	}
 }
 
-// report tells which routes have no upstream, once the node knows the fleet.
-func (n *node) report(now time.Time) {
-	if n.reporting.Load() {
+// reportRoutes updates the report of routes without an upstream. It does nothing
+// until reportDelay after readiness.
+func (n *node) reportRoutes(now time.Time) {
+	if n.reportingEnabled.Load() {
 		n.reporter.Update(now)
 	}
 }
 
-// membersMoved tells the deduplicator which members can execute keys. Before
-// the fleet's first version there are no routes and so no calls with keys, and
-// the members that come then make no key uncertain.
-func (n *node) membersMoved(now time.Time) {
+// updateKeyMembers tells the deduplicator which members can execute calls with
+// keys. Before the fleet's first version there are no routes and so no calls with
+// keys. Members that join then must not make the state of any key uncertain.
+func (n *node) updateKeyMembers(now time.Time) {
 	announcement, ok := n.calls.upstream.service()
 	if ok && n.applier.Current().Tree.Version > 0 {
-		n.calls.deduplicator.Moved(now, executors(n.fleet.serving(announcement.Service)), executors(n.fleet.live()))
+		n.calls.deduplicator.Moved(now, keyMembers(n.fleet.serving(announcement.Service)), keyMembers(n.fleet.live()))
 	}
 }
 
-// configured is called after each version that came into force.
-func (n *node) configured(state applier.State) {
+// configurationChanged is called after each version becomes active.
+func (n *node) configurationChanged(state applier.State) {
 	n.setLimits()
 	n.authenticator.Update(state.Tree.Items)
-	n.membersMoved(state.Since)
-	n.report(state.Since)
-	n.present(time.Now())
+	n.updateKeyMembers(state.Since)
+	n.reportRoutes(state.Since)
+	n.refreshUpstream(time.Now())
 	level.Info(n.logger).Log("msg", "configuration applied", "version", state.Tree.Version, "routes", state.Table.Routes())
 }
 
-// kinds are the stream kinds that peers can open.
-func (n *node) kinds() map[string]connector.Handler {
+// streamHandlers returns the handlers of the streams that peers can open, by kind.
+func (n *node) streamHandlers() map[string]connector.Handler {
 	return map[string]connector.Handler{
 		kindTracker: func(ctx context.Context, from connector.Peer, stream net.Conn) {
 			n.tracker.Serve(ctx, from.Name, stream)
--- a/node/runner/operators.go
+++ b/node/runner/operators.go
@@ -28,9 +28,9 @@
 			Name: n.self.Name, Boot: int64(n.self.Incarnation.Boot()), Address: n.self.Address,
 			AvailabilityZone: n.self.AvailabilityZone, Region: n.self.Region,
 		},
-		// Calls have ended before; what is left are streams without a call.
+		// All calls have ended by then, so only streams without a call are left.
 		Limits: connector.Limits{Drain: leaveTimeout},
-		TLS:    security, Listen: n.settings.listen(), Handlers: n.kinds(), Logger: n.logger, Scope: n.scope,
+		TLS:    security, Listen: n.settings.peerListenAddress(), Handlers: n.streamHandlers(), Logger: n.logger, Scope: n.scope,
 	}
 }
 
@@ -55,17 +55,17 @@
 	}
 }
 
-// parse reads one settings file at a time, because the parser bounds the
-// memory of one.
+// parse parses a settings file. It parses one file at a time, since the parser bounds
+// the memory for a single file.
 func (n *node) parse(text []byte) (string, map[sycamorerun.Path]sycamorerun.Item, []sycamorerun.Fault) {
-	n.parsing.Lock()
-	defer n.parsing.Unlock()
+	n.parseMutex.Lock()
+	defer n.parseMutex.Unlock()
 	subtree, faults := parser.Parse(text)
 	return subtree.Team, subtree.Items, faults
 }
 
-// lookup returns the outcome of a change; it is missing when no kept version
-// and no proposal has the id.
+// lookup returns the outcome of a change. It returns false if no retained version and
+// no proposal has the id.
 func (n *node) lookup(ctx context.Context, id string) (sycamorerun.Outcome, bool) {
 	outcome := n.acceptor.Lookup(ctx, id)
 	missing := outcome.Status == sycamorerun.StatusUnknown && len(outcome.Faults) > 0 &&
@@ -73,7 +73,7 @@
 	return outcome, !missing
 }
 
-// proposals lists what waits for the review of a team's operators.
+// proposals returns the changes that wait for a review by the operators of a team.
 func (n *node) proposals(ctx context.Context, team string) ([]manager.Proposal, error) {
 	found, err := n.acceptor.Proposals(ctx, team)
 	if err != nil {
@@ -91,12 +91,13 @@
 	return results, nil
 }
 
-// history returns the newest entries, newest first, until limit changes of the
-// team are found. A node that caught up by a snapshot lacks entries; the rest
-// then comes from the store by one list, or is left out while it is down.
+// history returns the newest entries, newest first, up to the one with which limit
+// changes of the team are found. A node that caught up with a snapshot lacks entries. It
+// then reads them from the store with one list request, or omits them if the store is
+// unavailable.
 func (n *node) history(ctx context.Context, team string, limit int) []sycamorerun.Entry {
 	if n.document != nil {
-		return n.written(team, limit)
+		return n.documentHistory(team, limit)
 	}
 	var entries []sycamorerun.Entry
 	var stored map[sycamorerun.Version]sycamorerun.Entry
@@ -121,12 +122,12 @@
 	return entries
 }
 
-// kindDocument is the kind of a version that the operators' document brought.
+// kindDocument is the kind of a change that was made in the operators' document.
 const kindDocument sycamorerun.ChangeKind = "document"
 
-// written returns up to limit versions of the operators' document that this
-// node still has, newest first. They belong to the administrators.
-func (n *node) written(team string, limit int) []sycamorerun.Entry {
+// documentHistory returns up to limit of the retained versions of the operators'
+// document, newest first. They belong to the administrators' team.
+func (n *node) documentHistory(team string, limit int) []sycamorerun.Entry {
 	if team != "" && team != sycamorerun.AdminTeam {
 		return nil
 	}
@@ -139,12 +140,12 @@
 	return entries
 }
 
-// storedEntries returns the entries of the log in the store by version.
+// storedEntries returns the log entries in the store by version.
 func (n *node) storedEntries(ctx context.Context) map[sycamorerun.Version]sycamorerun.Entry {
 	entries := map[sycamorerun.Version]sycamorerun.Entry{}
 	listing, err := n.store.List(ctx, persister.LogPrefix, 0)
 	if err != nil {
-		level.Warn(n.logger).Log("msg", "history is incomplete; the store can't be read", "err", err)
+		level.Warn(n.logger).Log("msg", "history is incomplete: failed to list the log in the store", "err", err)
 		return entries
 	}
 	for _, object := range listing.Objects {
@@ -162,7 +163,7 @@
 		Sessions: n.connector.Sessions(), Members: len(n.fleet.live()),
 		Watching: n.fleet.plan().Watch != planner.None,
 	}
-	for _, route := range n.applier.Current().Table.Degraded(n.fleet.upstreams) {
+	for _, route := range n.applier.Current().Table.Degraded(n.fleet.servingCount) {
 		if route.State == router.Partial {
 			result.Partial++
 		} else {
@@ -186,7 +187,7 @@
 
 func (n *node) routes() []manager.Route {
 	var routes []manager.Route
-	for _, status := range n.applier.Current().Table.Statuses(n.fleet.upstreams) {
+	for _, status := range n.applier.Current().Table.Statuses(n.fleet.servingCount) {
 		routes = append(routes, n.route(status))
 	}
 	return routes
@@ -220,7 +221,8 @@
 	return result, nil
 }
 
-// explain says which route and upstreams a request would take.
+// explain returns the route that a request would match and the upstreams that could
+// serve it.
 func (n *node) explain(query manager.Query) manager.Explanation {
 	header := http.Header{}
 	for name, value := range query.Headers {
@@ -241,7 +243,7 @@
 	result.Route = string(found.Match.Route)
 	result.Steps = append(result.Steps, "calls have "+found.Attributes())
 	result.Class, result.Repeatable = found.Match.Class, found.Match.Repeatable
-	if status, ok := table.Status(found.Match.Route, n.fleet.upstreams); ok {
+	if status, ok := table.Status(found.Match.Route, n.fleet.servingCount); ok {
 		state := n.route(status)
 		result.State = &state
 	}
@@ -249,17 +251,17 @@
 		member, _ := n.fleet.member(chance.Instance)
 		result.Candidates = append(result.Candidates, manager.Candidate{
 			Instance: chance.Instance, AvailabilityZone: member.AvailabilityZone, State: member.State,
-			Chance: chance.Share, Reason: reason(chance),
+			Chance: chance.Share, Reason: candidateReason(chance),
 		})
 	}
 	return result
 }
 
-// tiers name the distance of a candidate.
-var tiers = []string{"same availability zone", "same region", "other region"}
+// tierNames holds the names of the balancer's tiers.
+var tierNames = []string{"same availability zone", "same region", "other region"}
 
-func reason(chance balancer.Chance) string {
-	text := tiers[min(chance.Tier, len(tiers)-1)]
+func candidateReason(chance balancer.Chance) string {
+	text := tierNames[min(chance.Tier, len(tierNames)-1)]
 	if chance.Ejected {
 		text += ", ejected after failures"
 	}
--- a/node/runner/program.go
+++ b/node/runner/program.go
@@ -10,54 +10,55 @@
 	"sycamorerun/loader"
 )
 
-// Program is a program around a node.
+// Program is a command that runs a node.
 type Program struct {
 	Name string
-	// Register adds settings of the program's own. Nil adds none.
+	// Register adds the program's own settings. It may be nil.
 	Register func(*loader.Loader)
-	// Configure sets the fields of the Runner, and changes its settings, before
-	// it runs. Nil leaves them.
+	// Configure sets the fields of the Runner and modifies its settings before it
+	// runs. It may be nil.
 	Configure func(*Runner, *Settings)
-	// Exit ends the process at once; nil means os.Exit.
+	// Exit ends the process immediately. If it is nil, os.Exit is used.
 	Exit func(code int)
 }
 
-// Main runs a program with the process's arguments and variables, and ends the
-// process.
+// Main runs a program with the arguments and environment variables of the process,
+// and exits.
 func Main(program string, configure func(*Runner, *Settings)) {
 	p := &Program{Name: program, Configure: configure}
 	os.Exit(p.Run(os.Args[1:], os.LookupEnv, loader.Streams{Out: os.Stdout, Err: os.Stderr}))
 }
 
-// Run runs the program until a signal ends it, and returns the exit code.
-// SIGTERM and SIGINT stop the node gracefully; SIGINT ends a node that stops
-// already. SIGHUP has the settings read again.
+// Run runs the program until a signal ends it, and returns the exit code. SIGTERM and
+// SIGINT stop the node gracefully. A SIGINT while the node is stopping ends the
+// process immediately. SIGHUP reloads the settings.
 func (p *Program) Run(args []string, lookup func(string) (string, bool), streams loader.Streams) int {
-	// From here on no signal ends the process by default.
+	// From here on, these signals no longer end the process by default.
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	defer signal.Stop(signals)
 
 	var settings Settings
-	known := p.loader(&settings)
-	proceed, code := known.Start(args, lookup, streams)
+	loaded := p.loader(&settings)
+	proceed, code := loaded.Start(args, lookup, streams)
 	if !proceed {
 		return code
 	}
-	// A change between Start and now is found by the first check.
-	stamp, _ := stampOf(known.File())
+	// A change of the file between Start and this call stays unnoticed until the file
+	// changes again.
+	stamp, _ := readFileStamp(loaded.File())
 	r := New(settings, streams.Err)
 	if p.Configure != nil {
 		p.Configure(r, &r.settings)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	done, end := context.WithCancel(context.Background())
-	defer end()
-	hangups := make(chan struct{}, 1)
-	reloads := &reloader{program: p, args: args, lookup: lookup, runner: r, known: known, stamp: stamp}
-	go reloads.run(done, hangups)
-	go p.listen(done, signals, stop, hangups, streams)
+	background, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	reloadRequests := make(chan struct{}, 1)
+	settingsReloader := &reloader{program: p, args: args, lookup: lookup, runner: r, loaded: loaded, stamp: stamp}
+	go settingsReloader.run(background, reloadRequests)
+	go p.handleSignals(background, signals, stop, reloadRequests, streams)
 	if err := r.Run(ctx); err != nil {
 		fmt.Fprintln(streams.Err, err)
 		return 1
@@ -65,7 +66,7 @@
 	return 0
 }
 
-// loader returns a loader of the node's settings and of the program's own.
+// loader returns a loader of the node's settings and of the program's own ones.
 func (p *Program) loader(settings *Settings) *loader.Loader {
 	l := loader.New(p.Name)
 	settings.Register(l)
@@ -75,8 +76,8 @@
 	return l
 }
 
-// listen acts on signals until ctx ends.
-func (p *Program) listen(ctx context.Context, signals <-chan os.Signal, stop func(), hangups chan<- struct{}, streams loader.Streams) {
+// handleSignals handles signals until ctx ends.
+func (p *Program) handleSignals(ctx context.Context, signals <-chan os.Signal, stop func(), reloadRequests chan<- struct{}, streams loader.Streams) {
 	stopping := false
 	for {
 		select {
@@ -86,15 +87,15 @@
 			switch {
 			case received == syscall.SIGHUP:
 				select {
-				case hangups <- struct{}{}:
-				default: // the settings are about to be read anyway
+				case reloadRequests <- struct{}{}:
+				default: // a reload is already pending
 				}
 			case !stopping:
 				stopping = true
 				stop()
 			case received == syscall.SIGINT:
-				// A supervisor may repeat SIGTERM; only a person sends SIGINT twice.
-				fmt.Fprintln(streams.Err, "second signal; ending at once")
+				// A supervisor may repeat SIGTERM. A repeated SIGINT comes from a person.
+				fmt.Fprintln(streams.Err, "SIGINT received while stopping; exiting immediately")
 				p.exit(1)
 			}
 		}
--- a/node/runner/publisher.go
+++ b/node/runner/publisher.go
@@ -7,99 +7,109 @@
 	"sycamorerun"
 )
 
-// presence is what the members are told of the upstream here.
-type presence struct {
+// advertisement is the state of the local upstream that is published to the members.
+type advertisement struct {
 	service string
 	state   sycamorerun.State
 	slots   int
 }
 
-func (p presence) serving() bool { return sycamorerun.Instance{State: p.state}.Serving() }
+func (p advertisement) serving() bool { return sycamorerun.Instance{State: p.state}.Serving() }
 
-const lapseDelay = 2 * time.Second
+// absenceThreshold is the minimum time after which the members may count this
+// upstream as not serving: the time since its record was published, if the record is
+// not visible, or the time for which this process was paused.
+const absenceThreshold = 2 * time.Second
 
-// publisher publishes the presence of the upstream. Before the upstream starts
-// or stops serving, its keys change hands, which takes a moment.
+// publisher publishes the advertisement of the upstream. Before it publishes that
+// the upstream starts or stops serving, it transfers the ownership of the keys in the
+// background.
 type publisher struct {
-	publish     func(presence)
+	publish     func(advertisement)
 	join, leave func()
-	// keyless says that there are no keys to hand over.
-	keyless bool
+	// keysDisabled is set if there are no keys to transfer.
+	keysDisabled bool
 
 	mutex   sync.Mutex
-	wanted  presence
+	desired advertisement
 	serving bool
-	// since is when serving last changed.
-	since time.Time
-	// changing is closed when the change in progress has ended.
-	changing chan struct{}
+	// lastTransfer is the end of the last transfer.
+	lastTransfer time.Time
+	// transferDone is closed at the end of the transfer in progress. It is nil if
+	// there is none.
+	transferDone chan struct{}
 }
 
-// want publishes a presence, at once unless the keys have to change hands first.
-func (p *publisher) want(wanted presence) {
+// setDesired publishes an advertisement. It does so immediately unless the keys have
+// to be transferred first.
+func (p *publisher) setDesired(next advertisement) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.wanted = wanted
+	p.desired = next
 	switch {
-	case p.keyless:
-		p.publish(wanted)
-	case p.changing != nil: // published when the change has ended
-	case wanted.serving() == p.serving:
-		p.publish(wanted)
+	case p.keysDisabled:
+		p.publish(next)
+	case p.transferDone != nil: // published at the end of the transfer
+	case next.serving() == p.serving:
+		p.publish(next)
 	default:
-		p.changing = make(chan struct{})
-		go p.change()
+		p.transferDone = make(chan struct{})
+		go p.transferKeys()
 	}
 }
 
-// lapse records that the members no longer count the upstream as serving, since
-// it was silent for too long: others may have executed its keys. A record that
-// was published less than lapseDelay ago may not be in view yet.
-func (p *publisher) lapse(now time.Time) {
+// markAbsent records that the members no longer count the upstream as serving, since
+// it was silent for too long. Other members may have executed calls with its keys. It
+// has no effect within absenceThreshold after a transfer, since the published record
+// may not be visible yet.
+func (p *publisher) markAbsent(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.changing == nil && now.Sub(p.since) >= lapseDelay {
+	if p.transferDone == nil && now.Sub(p.lastTransfer) >= absenceThreshold {
 		p.serving = false
 	}
 }
 
-// reset records that the upstream is another one, which has no keys yet.
+// reset records that an upstream of another service, which owns no keys yet, has
+// replaced the last one.
 func (p *publisher) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.changing == nil {
+	if p.transferDone == nil {
 		p.serving = false
 	}
 }
 
-// change moves the keys until the wanted presence can be published.
-func (p *publisher) change() {
+// transferKeys transfers the ownership of the keys and publishes the desired
+// advertisement. It repeats the transfer if the desired advertisement changes
+// meanwhile.
+func (p *publisher) transferKeys() {
 	for {
 		p.mutex.Lock()
-		if p.wanted.serving() == p.serving {
-			p.publish(p.wanted)
-			p.since = time.Now()
-			close(p.changing)
-			p.changing = nil
+		if p.desired.serving() == p.serving {
+			p.publish(p.desired)
+			p.lastTransfer = time.Now()
+			close(p.transferDone)
+			p.transferDone = nil
 			p.mutex.Unlock()
 			return
 		}
 		p.serving = !p.serving
-		move := p.leave
+		transfer := p.leave
 		if p.serving {
-			move = p.join
+			transfer = p.join
 		}
 		p.mutex.Unlock()
-		move()
+		transfer()
 	}
 }
 
-// settle waits until the wanted presence is published.
-func (p *publisher) settle() {
+// waitPublished waits until the desired advertisement has been published.
+func (p *publisher) waitPublished() {
 	p.mutex.Lock()
-	changing := p.changing
+	done := p.transferDone
 	p.mutex.Unlock()
-	if changing != nil {
-		<-changing
+	if done != nil {
+		<-done
 	}
 }
--- a/node/runner/publisher_test.go
+++ b/node/runner/publisher_test.go
@@ -12,26 +12,27 @@
 	"sycamorerun"
 )
 
-// Guards against an upstream that is announced before its keys are taken over,
-// or that still executes keys after it is announced as draining.
+// Guards against an upstream that is published as serving before its keys are taken
+// over, or as draining before they are handed over.
 func TestPublisher(t *testing.T) {
 	none, ready, draining := sycamorerun.StateNone, sycamorerun.StateReady, sycamorerun.StateDraining
 	cases := map[string]struct {
-		wanted []sycamorerun.State
-		// lapsed says for how long the upstream is out of view before the last one.
-		lapsed time.Duration
-		// during are wanted while the first change is in progress.
+		states []sycamorerun.State
+		// absence is the time since the last transfer at which the upstream is marked
+		// absent, before the last of states. Zero means that it is not.
+		absence time.Duration
+		// during lists the states that are set during the first transfer.
 		during []sycamorerun.State
 		want   []string
 	}{
-		"none":                   {wanted: []sycamorerun.State{none}, want: []string{"none"}},
-		"serves":                 {wanted: []sycamorerun.State{none, ready, ready}, want: []string{"none", "join", "ready", "ready"}},
-		"drains":                 {wanted: []sycamorerun.State{ready, draining, draining}, want: []string{"join", "ready", "leave", "draining", "draining"}},
-		"returns":                {wanted: []sycamorerun.State{ready, draining, ready}, want: []string{"join", "ready", "leave", "draining", "join", "ready"}},
-		"lapses":                 {wanted: []sycamorerun.State{ready, ready}, lapsed: lapseDelay, want: []string{"join", "ready", "join", "ready"}},
-		"is not in view yet":     {wanted: []sycamorerun.State{ready, ready}, lapsed: lapseDelay / 2, want: []string{"join", "ready", "ready"}},
-		"drains while it joins":  {wanted: []sycamorerun.State{ready}, during: []sycamorerun.State{draining}, want: []string{"join", "leave", "draining"}},
-		"repeats while it joins": {wanted: []sycamorerun.State{ready}, during: []sycamorerun.State{ready, ready}, want: []string{"join", "ready"}},
+		"none":                   {states: []sycamorerun.State{none}, want: []string{"none"}},
+		"serves":                 {states: []sycamorerun.State{none, ready, ready}, want: []string{"none", "join", "ready", "ready"}},
+		"drains":                 {states: []sycamorerun.State{ready, draining, draining}, want: []string{"join", "ready", "leave", "draining", "draining"}},
+		"returns":                {states: []sycamorerun.State{ready, draining, ready}, want: []string{"join", "ready", "leave", "draining", "join", "ready"}},
+		"lapses":                 {states: []sycamorerun.State{ready, ready}, absence: absenceThreshold, want: []string{"join", "ready", "join", "ready"}},
+		"is not in view yet":     {states: []sycamorerun.State{ready, ready}, absence: absenceThreshold / 2, want: []string{"join", "ready", "ready"}},
+		"drains while it joins":  {states: []sycamorerun.State{ready}, during: []sycamorerun.State{draining}, want: []string{"join", "leave", "draining"}},
+		"repeats while it joins": {states: []sycamorerun.State{ready}, during: []sycamorerun.State{ready, ready}, want: []string{"join", "ready"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -43,36 +44,36 @@
 				defer mutex.Unlock()
 				events = append(events, event)
 			}
-			p := &publisher{publish: func(p presence) { record(string(p.state)) }, leave: func() { record("leave") }}
+			p := &publisher{publish: func(p advertisement) { record(string(p.state)) }, leave: func() { record("leave") }}
 			during := slices.Clone(c.during)
 			p.join = func() {
 				record("join")
 				for _, state := range during {
-					p.want(presence{state: state})
+					p.setDesired(advertisement{state: state})
 				}
 				during = nil
 			}
-			for i, state := range c.wanted {
-				if i == len(c.wanted)-1 && c.lapsed > 0 {
-					p.lapse(p.since.Add(c.lapsed))
+			for i, state := range c.states {
+				if i == len(c.states)-1 && c.absence > 0 {
+					p.markAbsent(p.lastTransfer.Add(c.absence))
 				}
-				p.want(presence{state: state})
-				p.settle()
+				p.setDesired(advertisement{state: state})
+				p.waitPublished()
 			}
 			is.Equal(fmt.Sprint(events), fmt.Sprint(c.want))
 		})
 	}
 }
 
-// Guards against an announcement that waits for the hand-over of keys although
-// there are none.
-func TestKeyless(t *testing.T) {
+// Guards against an announcement that is delayed by a transfer of keys although keys
+// are disabled.
+func TestKeysDisabled(t *testing.T) {
 	is := is.New(t)
-	n := readyNode(t) // its settings have --keys=false
-	never := func() { t.Error("keys change hands") }
+	n := readyNode(t) // with Settings.Keys unset
+	never := func() { t.Error("keys are transferred although they are disabled") }
 	n.publisher.join, n.publisher.leave = never, never
 	for _, state := range []sycamorerun.State{sycamorerun.StateReady, sycamorerun.StateDraining, sycamorerun.StateCold, sycamorerun.StateNone} {
-		n.publisher.want(presence{"s", state, 1})
+		n.publisher.setDesired(advertisement{"s", state, 1})
 		is.Equal(n.state(), state)
 	}
 	is.Equal(n.calls.forwarder.Contract.Key, "")
--- a/node/runner/reload.go
+++ b/node/runner/reload.go
@@ -13,102 +13,105 @@
 	"sycamorerun/loader"
 )
 
-// checkInterval is the time between checks whether the settings file changed.
+// checkInterval is the time between two checks of the settings file for changes.
 const checkInterval = time.Second
 
-// update carries settings that were read again.
-type update struct {
+// settingsUpdate holds reloaded settings and the names of those to apply.
+type settingsUpdate struct {
 	settings Settings
 	names    []string
 }
 
-// changes take over a setting that was read again, by its name. The slices read
-// the settings in force when they need them.
-var changes = map[string]func(inForce, read *Settings){
-	"standby-delay":   func(inForce, read *Settings) { inForce.StandbyDelay = read.StandbyDelay },
-	"max-header":      func(inForce, read *Settings) { inForce.MaxHeader = read.MaxHeader },
-	"max-body":        func(inForce, read *Settings) { inForce.MaxBody = read.MaxBody },
-	"header-timeout":  func(inForce, read *Settings) { inForce.HeaderTimeout = read.HeaderTimeout },
-	"idle-timeout":    func(inForce, read *Settings) { inForce.IdleTimeout = read.IdleTimeout },
-	"announce-period": func(inForce, read *Settings) { inForce.AnnouncePeriod = read.AnnouncePeriod },
-	"log-level":       func(inForce, read *Settings) { inForce.LogLevel = read.LogLevel },
-	"drain-delay":     func(inForce, read *Settings) { inForce.DrainDelay = read.DrainDelay },
-	"drain-timeout":   func(inForce, read *Settings) { inForce.DrainTimeout = read.DrainTimeout },
+// reloadable maps the name of each setting that can change in a running node to a
+// function that copies it. The components read the active settings when they need
+// them.
+var reloadable = map[string]func(active, loaded *Settings){
+	"standby-delay":   func(active, loaded *Settings) { active.StandbyDelay = loaded.StandbyDelay },
+	"max-header":      func(active, loaded *Settings) { active.MaxHeader = loaded.MaxHeader },
+	"max-body":        func(active, loaded *Settings) { active.MaxBody = loaded.MaxBody },
+	"header-timeout":  func(active, loaded *Settings) { active.HeaderTimeout = loaded.HeaderTimeout },
+	"idle-timeout":    func(active, loaded *Settings) { active.IdleTimeout = loaded.IdleTimeout },
+	"announce-period": func(active, loaded *Settings) { active.AnnouncePeriod = loaded.AnnouncePeriod },
+	"log-level":       func(active, loaded *Settings) { active.LogLevel = loaded.LogLevel },
+	"drain-delay":     func(active, loaded *Settings) { active.DrainDelay = loaded.DrainDelay },
+	"drain-timeout":   func(active, loaded *Settings) { active.DrainTimeout = loaded.DrainTimeout },
 }
 
-// follow applies updates until ctx ends.
-func (n *node) follow(updates <-chan update) func(ctx context.Context) error {
+// applyUpdates returns a function that applies updates until its context ends.
+func (n *node) applyUpdates(updates <-chan settingsUpdate) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
 			case u := <-updates:
-				n.tune(u)
+				n.applyUpdate(u)
 			}
 		}
 	}
 }
 
-func (n *node) tune(u update) {
-	inForce := *n.inForce.Load()
+func (n *node) applyUpdate(u settingsUpdate) {
+	active := *n.activeSettings.Load()
 	for _, name := range u.names {
-		changes[name](&inForce, &u.settings)
+		reloadable[name](&active, &u.settings)
 	}
-	n.inForce.Store(&inForce)
-	n.setLevel(inForce.LogLevel)
+	n.activeSettings.Store(&active)
+	n.setLevel(active.LogLevel)
 	n.setLimits()
 }
 
-// setLimits applies the limits of the configuration in force, and the node's own
-// where it has none. It is called after a change of either.
+// setLimits applies the active limits for callers. It is called after each change of
+// the configuration or of the settings.
 func (n *node) setLimits() {
-	n.limiting.Lock()
-	defer n.limiting.Unlock()
+	n.limitsMutex.Lock()
+	defer n.limitsMutex.Unlock()
 	n.calls.setLimits(n.limits())
 }
 
-// limits returns the limits in force for callers.
+// limits returns the active limits for callers: those of the configuration and, where
+// it sets none, those of the node's settings.
 func (n *node) limits() sycamorerun.Limits {
-	return n.applier.Current().Table.Limits().Or(n.inForce.Load().limits())
+	return n.applier.Current().Table.Limits().Or(n.activeSettings.Load().limits())
 }
 
-// reloader reads the settings again on SIGHUP and when their file changes.
+// reloader reloads the settings on SIGHUP and when the settings file changes.
 type reloader struct {
 	program *Program
 	args    []string
 	lookup  func(string) (string, bool)
 	runner  *Runner
-	// known holds the settings that were read last, stamp the file's state then.
-	known   *loader.Loader
-	stamp   stamp
+	// loaded holds the last settings that were loaded, and stamp the state of the
+	// file at that time.
+	loaded  *loader.Loader
+	stamp   fileStamp
 	missing bool
 }
 
-// stamp is what changes with a file.
-type stamp struct {
+// fileStamp is the part of a file's metadata that indicates a change.
+type fileStamp struct {
 	size     int64
 	modified time.Time
 }
 
-func stampOf(path string) (stamp, error) {
+func readFileStamp(path string) (fileStamp, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}, err
+		return fileStamp{}, err
 	}
-	return stamp{info.Size(), info.ModTime()}, nil
+	return fileStamp{info.Size(), info.ModTime()}, nil
 }
 
-// run reads the settings again when it has to, until ctx ends.
-func (r *reloader) run(ctx context.Context, hangups <-chan struct{}) {
+// run reloads the settings on request and after changes of the file, until ctx ends.
+func (r *reloader) run(ctx context.Context, reloadRequests <-chan struct{}) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
-			level.Info(r.runner.events).Log("msg", "SIGHUP received; reading the settings again")
+		case <-reloadRequests:
+			level.Info(r.runner.logger).Log("msg", "SIGHUP received; reloading the settings")
 			r.check(true)
 		case <-ticker.C:
 			r.check(false)
@@ -116,53 +119,53 @@
 	}
 }
 
-// check reads the settings when the file has changed or always is set. The
-// settings in force stay when the file is gone.
-func (r *reloader) check(always bool) {
-	path := r.known.File()
+// check reloads the settings if the file has changed or force is set. If the file can't
+// be read, the active settings are kept.
+func (r *reloader) check(force bool) {
+	path := r.loaded.File()
 	if path == "" {
 		return
 	}
-	now, err := stampOf(path)
+	now, err := readFileStamp(path)
 	if err != nil {
-		if !r.missing || always {
-			level.Warn(r.runner.events).Log("msg", "settings file can't be read; the settings stay", "err", err)
+		if !r.missing || force {
+			level.Warn(r.runner.logger).Log("msg", "failed to read the settings file; keeping the active settings", "err", err)
 		}
 		r.missing = true
 		return
 	}
-	if always || r.missing || now != r.stamp {
+	if force || r.missing || now != r.stamp {
 		r.missing, r.stamp = false, now
-		r.read()
+		r.reload()
 	}
 }
 
-// read checks all settings and applies those that changed.
-func (r *reloader) read() {
+// reload loads and validates all settings and applies those that have changed.
+func (r *reloader) reload() {
 	var settings Settings
 	next := r.program.loader(&settings)
 	loader.AddPrint(next, new(bool))
 	faults, err := next.Load(r.args, r.lookup, io.Discard)
 	for _, note := range next.Notes() {
-		level.Warn(r.runner.events).Log("msg", "settings file", "note", note)
+		level.Warn(r.runner.logger).Log("msg", "settings file was not fully applied", "note", note)
 	}
 	if err != nil {
-		level.Error(r.runner.events).Log("msg", "settings not read; they stay", "err", err)
+		level.Error(r.runner.logger).Log("msg", "failed to load the settings; keeping the active settings", "err", err)
 		return
 	}
 	for _, fault := range faults {
-		level.Error(r.runner.events).Log("msg", "settings are faulty; they stay", "fault", fault)
+		level.Error(r.runner.logger).Log("msg", "settings are invalid; keeping the active settings", "fault", fault)
 	}
 	if len(faults) > 0 {
 		return
 	}
-	running, start := r.known.Changed(next)
-	r.known = next
-	if len(start) > 0 {
-		level.Warn(r.runner.events).Log("msg", "changed settings take effect at the next start", "settings", strings.Join(start, ","))
+	applied, deferred := r.loaded.Changed(next)
+	r.loaded = next
+	if len(deferred) > 0 {
+		level.Warn(r.runner.logger).Log("msg", "changed settings take effect at the next start", "settings", strings.Join(deferred, ","))
 	}
-	if len(running) > 0 {
-		level.Info(r.runner.events).Log("msg", "settings changed", "settings", strings.Join(running, ","))
-		r.runner.update(update{settings, running})
+	if len(applied) > 0 {
+		level.Info(r.runner.logger).Log("msg", "settings changed", "settings", strings.Join(applied, ","))
+		r.runner.enqueueUpdate(settingsUpdate{settings, applied})
 	}
 }
--- a/node/runner/report_test.go
+++ b/node/runner/report_test.go
@@ -20,8 +20,8 @@
 	"sycamorerun/validator"
 )
 
-// items returns a tree with services and a route r to some of them; without
-// targets there is no route.
+// items returns the items of a tree with services and a route r that is split among
+// targets. Without targets there is no route.
 func items(services, targets string) map[sycamorerun.Path]sycamorerun.Item {
 	tree := map[sycamorerun.Path]sycamorerun.Item{"admin/team/a": sycamorerun.Item(`{"mode":"flow"}`)}
 	for name := range strings.FieldsSeq(services) {
@@ -38,30 +38,33 @@
 	return tree
 }
 
-// Guards against operators who can't see that calls to a route have no
-// upstream, or who see it too late, too often or for routes that are gone,
-// when configuration and members change in any order.
+// Guards against routes without an upstream that are not reported, or are reported
+// late, repeatedly or after their removal, in whatever order the configuration and the
+// members change.
 func TestRouteStates(t *testing.T) {
 	type step struct {
-		// services and targets are the next version, unless both are empty.
+		// services and targets define the next version. If services is empty, there is
+		// none.
 		services, targets string
-		// members serve the services in this order; a state follows a colon.
+		// members lists the service of each member, with its state after a colon if
+		// it is not ready.
 		members string
-		// state is the route's, empty without a route; message is the log line.
+		// state is the expected state of the route, empty without a route, and message
+		// the expected log line.
 		state   router.State
 		message string
 	}
-	const lost, part, again = "routes have no upstream", "routes have a service without", "again"
+	const unserved, partial, served = "routes have no upstream", "routes have a service without", "again"
 	cases := map[string][]step{
 		"endpoints before the configuration":   {{"", "", "s", "", ""}, {"s", "s", "s", router.Served, ""}},
-		"configuration before the endpoints":   {{"s", "s", "", router.Unserved, lost}, {"", "", "s", router.Served, again}},
-		"last upstream leaves and comes back":  {{"s", "s", "s s", router.Served, ""}, {"", "", "s", router.Served, ""}, {"", "", "", router.Unserved, lost}, {"", "", "s", router.Served, again}},
-		"last upstream drains":                 {{"s", "s", "s", router.Served, ""}, {"", "", "s:draining", router.Unserved, lost}, {"", "", "s:none", router.Unserved, ""}},
-		"upstream of another service":          {{"s u", "s", "u", router.Unserved, lost}},
-		"service removed before the route":     {{"s u", "s", "", router.Unserved, lost}, {"u", "s", "", router.Unserved, ""}, {"u", "u", "u", router.Served, again}},
-		"service and route removed":            {{"s", "s", "", router.Unserved, lost}, {"s", "", "", "", ""}, {"s", "s", "", router.Unserved, lost}},
-		"route moved to a service without any": {{"s u", "s", "s", router.Served, ""}, {"s u", "u", "s", router.Unserved, lost}},
-		"split":                                {{"s u", "s u", "s u", router.Served, ""}, {"", "", "u", router.Partial, part}, {"", "", "", router.Unserved, lost}, {"", "", "s u", router.Served, again}},
+		"configuration before the endpoints":   {{"s", "s", "", router.Unserved, unserved}, {"", "", "s", router.Served, served}},
+		"last upstream leaves and comes back":  {{"s", "s", "s s", router.Served, ""}, {"", "", "s", router.Served, ""}, {"", "", "", router.Unserved, unserved}, {"", "", "s", router.Served, served}},
+		"last upstream drains":                 {{"s", "s", "s", router.Served, ""}, {"", "", "s:draining", router.Unserved, unserved}, {"", "", "s:none", router.Unserved, ""}},
+		"upstream of another service":          {{"s u", "s", "u", router.Unserved, unserved}},
+		"service removed before the route":     {{"s u", "s", "", router.Unserved, unserved}, {"u", "s", "", router.Unserved, ""}, {"u", "u", "u", router.Served, served}},
+		"service and route removed":            {{"s", "s", "", router.Unserved, unserved}, {"s", "", "", "", ""}, {"s", "s", "", router.Unserved, unserved}},
+		"route moved to a service without any": {{"s u", "s", "s", router.Served, ""}, {"s u", "u", "s", router.Unserved, unserved}},
+		"split":                                {{"s u", "s u", "s u", router.Served, ""}, {"", "", "u", router.Partial, partial}, {"", "", "", router.Unserved, unserved}, {"", "", "s u", router.Served, served}},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -76,9 +79,9 @@
 			r.Logger, r.Scope = log.NewLogfmtLogger(&logs), scope
 			a.Changed = func(state applier.State) { r.Update(state.Since) }
 			since := map[router.State]time.Time{}
-			var before router.State
-			for at, step := range steps {
-				now := time.Unix(int64(1000+at), 0)
+			var previous router.State
+			for index, step := range steps {
+				now := time.Unix(int64(1000+index), 0)
 				logs.Reset()
 				var live []sycamorerun.Instance
 				for i, text := range strings.Fields(step.members) {
@@ -90,18 +93,18 @@
 				}
 				members.update("self", live, live)
 				if tree := items(step.services, step.targets); step.services != "" {
-					_ = a.Install(now, sycamorerun.Tree{Version: sycamorerun.Version(at + 1), Items: tree}, differ.Hash(tree))
+					_ = a.Install(now, sycamorerun.Tree{Version: sycamorerun.Version(index + 1), Items: tree}, differ.Hash(tree))
 				}
 				r.Update(now)
-				status, _ := a.Current().Table.Status("a/route/r", members.upstreams)
+				status, _ := a.Current().Table.Status("a/route/r", members.servingCount)
 				is.Equal(status.State, step.state)
-				if before != step.state {
+				if previous != step.state {
 					since[step.state] = now
 				}
-				before = step.state
-				from, known := r.Since("a/route/r", step.state)
+				previous = step.state
+				reportedSince, known := r.Since("a/route/r", step.state)
 				is.Equal(known, step.state == router.Unserved || step.state == router.Partial)
-				is.True(!known || from.Equal(since[step.state]))
+				is.True(!known || reportedSince.Equal(since[step.state]))
 				is.Equal(strings.Count(logs.String(), "\n"), len(step.message[:min(1, len(step.message))]))
 				is.True(strings.Contains(logs.String(), step.message))
 				gauge := scope.Snapshot().Gauges()["unserved_routes+"].Value()
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -1,4 +1,4 @@
-// Package runner wires the slices of a node, starts them and stops them
+// Package runner wires the components of a node, starts them and stops them
 // gracefully.
 package runner
 
@@ -22,62 +22,63 @@
 	"sycamorerun/persister"
 )
 
-// lingerPart is the part of the drain timeout in which new calls of callers are
-// still served after the drain delay. The rest is for calls in flight.
-const lingerPart = 3
+// lingerDivisor sets the time after the drain delay during which new calls from
+// callers are still served to DrainTimeout/lingerDivisor. The remaining time is for
+// calls in flight.
+const lingerDivisor = 3
 
 const (
-	// headerTimeout bounds the wait for the head of an operator's request.
+	// headerTimeout bounds the wait for the header of an operator's request.
 	headerTimeout = 10 * time.Second
 	// reportDelay is the time from readiness until routes without an upstream
-	// are logged and counted. The records of the other members come with the
+	// are logged and counted. The records of the other members arrive over the
 	// first links; without the delay, each start would report all routes.
 	reportDelay = 5 * time.Second
-	// stopMargin is the time of a stop beyond the drain: the end of the HTTP
-	// servers, the last records for peers and the end of the sessions share it.
-	// Whoever stops a node allows a second more than its drain takes.
+	// stopMargin bounds the rest of the shutdown after the drain: stopping the
+	// HTTP servers, sending the last records to peers and closing the sessions.
+	// Supervisors allow one second beyond the drain before they kill a node.
 	stopMargin = 800 * time.Millisecond
-	// closeTimeout bounds the end of the HTTP servers, in which the last
-	// responses are written. A connection on which no request was ever made
-	// would hold it up.
+	// closeTimeout bounds the graceful shutdown of an HTTP server, during which
+	// the last responses are written. A connection on which no request was ever
+	// made would delay the shutdown.
 	closeTimeout = 200 * time.Millisecond
-	// leaveTimeout bounds the last records for peers, and also the end of the
-	// sessions. What takes longer goes to peers that don't answer.
+	// leaveTimeout bounds sending the last records to peers, and separately the
+	// closing of the sessions. Only peers that don't answer take longer.
 	leaveTimeout = 250 * time.Millisecond
 )
 
-// Runner runs one node. The exported fields are set before Run; their zero
-// values select the product's own store, log and headers.
+// Runner runs one node. Set the exported fields before Run; their zero values
+// select the default object store, the log in the store and the default headers.
 type Runner struct {
 	// Store replaces the client of the object store.
 	Store *persister.Store
-	// Document is the source of a configuration that the operators write as one
-	// document in the store.
+	// Document is the source of a configuration that operators write into the
+	// store as one document.
 	Document *distributor.Document
-	// Contract names the headers of calls.
+	// Contract defines the names of the call headers.
 	Contract *forwarder.Contract
-	// Handlers serve further addresses.
+	// Handlers holds the constructors of handlers for additional listen addresses.
 	Handlers map[netip.AddrPort]func(API) http.Handler
 
 	settings Settings
-	events   *logger.Leveled
-	updates  chan update
+	logger   *logger.Leveled
+	updates  chan settingsUpdate
 }
 
 // New returns a Runner that logs to logs.
 func New(settings Settings, logs io.Writer) *Runner {
 	return &Runner{
-		settings: settings, updates: make(chan update, 1),
-		events: logger.NewLeveled(logs, settings.LogLevel, "node", settings.Name, "zone", settings.AvailabilityZone),
+		settings: settings, updates: make(chan settingsUpdate, 1),
+		logger: logger.NewLeveled(logs, settings.LogLevel, "node", settings.Name, "zone", settings.AvailabilityZone),
 	}
 }
 
-// update has a running node take settings that were read again.
-func (r *Runner) update(u update) {
+// enqueueUpdate passes reloaded settings to the running node. It merges them with
+// an update that the node has not received yet.
+func (r *Runner) enqueueUpdate(u settingsUpdate) {
 	select {
-	case waiting := <-r.updates:
-		// The node has not taken the last ones yet.
-		u.names = append(waiting.names, u.names...)
+	case pending := <-r.updates:
+		u.names = append(pending.names, u.names...)
 	default:
 	}
 	r.updates <- u
@@ -89,24 +90,25 @@
 	s := r.settings
 	scope, metrics, closer := meter.New(map[string]string{"node": s.Name, "zone": s.AvailabilityZone, "region": s.Region})
 	defer closer.Close()
-	n, err := newNode(now, r, r.events, scope, metrics)
+	n, err := newNode(now, r, r.logger, scope, metrics)
 	if err != nil {
 		return err
 	}
-	r.events.SetLevel(s.LogLevel)
+	r.logger.SetLevel(s.LogLevel)
 	n.updates = r.updates
 	return n.run(ctx)
 }
 
-// run starts everything, waits for the end of ctx or a failure, and stops in
-// the order that loses no call: callers and peers first, sessions last.
+// run starts all components, waits until ctx ends or a component fails, and shuts
+// down. Callers and peers are drained before the sessions are closed, so that no
+// call is lost.
 func (n *node) run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
-	limit := time.Time{}
+	deadline := time.Time{}
 	defer func() {
 		stop()
-		n.finish(&group, limit)
+		n.awaitBackground(&group, deadline)
 	}()
 	failed := make(chan error, 1)
 	start := func(name string, run func(context.Context) error) {
@@ -132,9 +134,9 @@
 		start("keys", n.keys.Run)
 	}
 	start("upstream", n.watchUpstream)
-	start("settings", n.follow(n.updates))
+	start("settings", n.applyUpdates(n.updates))
 	start("operators", serve(operators))
-	start("callers", serveOn(callers, n.calls.listener.Wrap))
+	start("callers", serveWrapped(callers, n.calls.listener.Wrap))
 	for address, handler := range n.handlers {
 		start("handler", serve(&http.Server{
 			Addr: address.String(), Handler: handler(n.api()), ReadHeaderTimeout: headerTimeout,
@@ -148,119 +150,120 @@
 	case err := <-failed:
 		return err
 	}
-	limit = n.drain(callers)
+	deadline = n.drain(callers)
 	n.phase.Store(manager.PhaseStopped)
-	_ = shut(operators) // Operators ask another node.
+	_ = shutdownServer(operators) // Operators can use another node.
 	level.Info(n.logger).Log("msg", "node stopped")
 	return nil
 }
 
-// finish waits until all that start began has ended, or until the limit, zero
-// meaning stopMargin from now. The process is about to end, with whatever hangs
-// in a connection to a peer.
-func (n *node) finish(group *sync.WaitGroup, limit time.Time) {
-	if limit.IsZero() {
-		limit = time.Now().Add(stopMargin)
+// awaitBackground waits until all goroutines of group have ended, or until the
+// deadline. A zero deadline means stopMargin from now. Goroutines that still hang
+// on a connection to a peer then end with the process.
+func (n *node) awaitBackground(group *sync.WaitGroup, deadline time.Time) {
+	if deadline.IsZero() {
+		deadline = time.Now().Add(stopMargin)
 	}
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		group.Wait()
-		close(ended)
+		close(done)
 	}()
 	select {
-	case <-ended:
-	case <-time.After(time.Until(limit)):
-		level.Warn(n.logger).Log("msg", "background work did not end in time")
+	case <-done:
+	case <-time.After(time.Until(deadline)):
+		level.Warn(n.logger).Log("msg", "background goroutines did not end before the shutdown deadline")
 	}
 }
 
-// shut ends an HTTP server that has no work.
-func shut(server *http.Server) error {
-	limited, cancel := context.WithTimeout(context.Background(), closeTimeout)
+// shutdownServer stops an HTTP server that has no requests in flight.
+func shutdownServer(server *http.Server) error {
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	err := server.Shutdown(limited)
+	err := server.Shutdown(ctx)
 	_ = server.Close()
 	return err
 }
 
-// serve runs an HTTP server as a function for start. The end of the context
-// closes it at once, for a start that failed elsewhere.
+// serve returns a function that runs an HTTP server until the server is shut down.
+// It closes the server immediately when its context ends, which happens if another
+// component fails.
 func serve(server *http.Server) func(context.Context) error {
-	return serveOn(server, func(plain net.Listener) net.Listener { return plain })
+	return serveWrapped(server, func(listener net.Listener) net.Listener { return listener })
 }
 
-// serveOn is serve with a wrapper of the listener.
-func serveOn(server *http.Server, wrap func(net.Listener) net.Listener) func(context.Context) error {
+// serveWrapped is serve with a listener that wrap returns.
+func serveWrapped(server *http.Server, wrap func(net.Listener) net.Listener) func(context.Context) error {
 	return func(ctx context.Context) error {
 		defer context.AfterFunc(ctx, func() { _ = server.Close() })()
-		plain, err := net.Listen("tcp", server.Addr)
+		listener, err := net.Listen("tcp", server.Addr)
 		if err != nil {
 			return errors.Wrap(err, "listen")
 		}
-		if err := server.Serve(wrap(plain)); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(wrap(listener)); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
 	}
 }
 
-// bootstrap makes the node ready once it has the newest version known.
+// bootstrap marks the node as ready once it has the newest known version.
 func (n *node) bootstrap(ctx context.Context) error {
-	delayed := time.AfterFunc(n.settings.StartWait, func() {
-		level.Warn(n.logger).Log("msg", "start is held up: the newest version is not known, since neither peers nor the store answer")
+	warning := time.AfterFunc(n.settings.StartWait, func() {
+		level.Warn(n.logger).Log("msg", "node is not ready yet: neither peers nor the object store have returned the newest version")
 	})
-	defer delayed.Stop()
+	defer warning.Stop()
 	if err := n.distributor.Bootstrap(ctx); err != nil {
 		return err
 	}
 	if n.phase.CompareAndSwap(manager.PhaseStarting, manager.PhaseReady) {
 		level.Info(n.logger).Log("msg", "node ready", "version", n.applier.Current().Tree.Version)
-		n.present(time.Now())
+		n.refreshUpstream(time.Now())
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(reportDelay):
-		n.reporting.Store(true)
-		n.report(time.Now())
+		n.reportingEnabled.Store(true)
+		n.reportRoutes(time.Now())
 	}
 	return nil
 }
 
-// drain tells the peers that the upstream here leaves, finishes the calls in
-// flight and announces that the node is gone. It returns the time by which the
-// process has to end.
-func (n *node) drain(callers *http.Server) (limit time.Time) {
-	s := n.inForce.Load()
+// drain tells the peers that the local upstream is draining, waits for the calls in
+// flight and announces that the node has left. It returns the time by which the
+// process must end.
+func (n *node) drain(callers *http.Server) (exitDeadline time.Time) {
+	s := n.activeSettings.Load()
 	level.Info(n.logger).Log("msg", "draining", "delay", s.DrainDelay, "timeout", s.DrainTimeout)
-	n.unversioned.Store(n.phase.Swap(manager.PhaseDraining) == manager.PhaseStarting)
-	ended := time.Now().Add(s.DrainDelay + s.DrainTimeout)
-	// The hand-over of keys begins now; calls go on meanwhile.
-	n.present(time.Now())
-	n.calls.forwarder.Grace, n.calls.forwarder.Linger = s.DrainDelay, s.DrainTimeout/lingerPart
-	limited, cancel := context.WithDeadline(context.Background(), ended)
+	n.stoppedBeforeReady.Store(n.phase.Swap(manager.PhaseDraining) == manager.PhaseStarting)
+	drainDeadline := time.Now().Add(s.DrainDelay + s.DrainTimeout)
+	// This starts the transfer of the keys. Calls are served meanwhile.
+	n.refreshUpstream(time.Now())
+	n.calls.forwarder.Grace, n.calls.forwarder.Linger = s.DrainDelay, s.DrainTimeout/lingerDivisor
+	drainCtx, cancel := context.WithDeadline(context.Background(), drainDeadline)
 	defer cancel()
-	if err := n.calls.forwarder.Drain(limited); err != nil {
-		level.Warn(n.logger).Log("msg", "calls were still in flight at the end of the drain", "err", err)
+	if err := n.calls.forwarder.Drain(drainCtx); err != nil {
+		level.Warn(n.logger).Log("msg", "drain timed out with calls in flight", "err", err)
 	}
-	limit = time.Now().Add(stopMargin)
-	if err := shut(callers); err != nil {
-		level.Debug(n.logger).Log("msg", "caller connections were still open at the end of the drain", "err", err)
+	exitDeadline = time.Now().Add(stopMargin)
+	if err := shutdownServer(callers); err != nil {
+		level.Debug(n.logger).Log("msg", "closing caller connections that are still open after the drain", "err", err)
 	}
-	n.publisher.settle()
-	leaving, stop := context.WithTimeout(context.Background(), leaveTimeout)
+	n.publisher.waitPublished()
+	leaveCtx, stop := context.WithTimeout(context.Background(), leaveTimeout)
 	defer stop()
 	if n.settings.Keys {
-		n.keys.Finish(leaving)
+		n.keys.Finish(leaveCtx)
 	}
-	n.tracker.Leave(leaving)
-	return limit
+	n.tracker.Leave(leaveCtx)
+	return exitDeadline
 }
 
-// ready refuses calls before the node has the newest version, also when it is
-// stopped before.
+// ready wraps next to refuse calls until the node has the newest version. It keeps
+// refusing them on a node that is stopped before it was ready.
 func (n *node) ready(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if n.phase.Load() == manager.PhaseStarting || n.unversioned.Load() {
+		if n.phase.Load() == manager.PhaseStarting || n.stoppedBeforeReady.Load() {
 			n.calls.forwarder.Decline(w, r, "starting")
 			return
 		}
--- a/node/runner/runner_test.go
+++ b/node/runner/runner_test.go
@@ -17,8 +17,8 @@
 	"sycamorerun/node/manager"
 )
 
-// free returns a loopback address that nothing listens on.
-func free(t *testing.T) netip.AddrPort {
+// freeAddress returns a loopback address on which nothing listens.
+func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,8 +28,8 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Guards against a node that hangs instead of ending with an error when one
-// of its addresses is in use.
+// Guards against a node that hangs instead of returning an error if one of its
+// addresses is in use.
 func TestAddressInUse(t *testing.T) {
 	cases := map[string]func(*Settings, netip.AddrPort){
 		"callers":   func(s *Settings, used netip.AddrPort) { s.Callers = used },
@@ -44,8 +44,8 @@
 			is.NoErr(err)
 			defer listener.Close()
 			settings := Settings{
-				Name: "n", AvailabilityZone: "z", Region: "r", Callers: free(t), Peers: free(t), Operators: free(t),
-				Store: free(t), Insecure: true, Mode: "tree", StartWait: time.Minute, KeyWindow: time.Minute,
+				Name: "n", AvailabilityZone: "z", Region: "r", Callers: freeAddress(t), Peers: freeAddress(t), Operators: freeAddress(t),
+				Store: freeAddress(t), Insecure: true, Mode: "tree", StartWait: time.Minute, KeyWindow: time.Minute,
 				AnnouncePeriod: time.Second, LogLevel: "error",
 			}
 			set(&settings, listener.Addr().(*net.TCPAddr).AddrPort())
@@ -56,13 +56,13 @@
 				is.True(err != nil)
 				is.True(strings.Contains(err.Error(), "address already in use"))
 			case <-time.After(20 * time.Second):
-				t.Fatal("the node neither ran nor ended")
+				t.Fatal("node did not end within 20 s although an address is in use")
 			}
 		})
 	}
 }
 
-// Guards against nodes that start with settings that contradict each other.
+// Guards against a node that starts with invalid or contradictory settings.
 func TestSettingsFaults(t *testing.T) {
 	base := []string{"--name=n", "--availability-zone=z", "--region=r"}
 	cases := map[string]struct {
@@ -106,14 +106,14 @@
 	}
 }
 
-// Guards against other nodes that keep sending calls to a leaving upstream
-// because its record does not say so, or says so only until the upstream
-// announces itself again.
+// Guards against other nodes that keep sending calls to a leaving upstream because its
+// record does not have the draining state, or loses it when the upstream announces
+// itself again.
 func TestDrainStates(t *testing.T) {
 	is := is.New(t)
 	const delay = time.Second
 	n := readyNode(t, func(s *Settings) { s.DrainDelay, s.DrainTimeout = delay, 10*time.Second })
-	ready := manager.Announcement{Service: "s", Address: free(t), State: sycamorerun.StateReady, Slots: 1}
+	ready := manager.Announcement{Service: "s", Address: freeAddress(t), State: sycamorerun.StateReady, Slots: 1}
 	state := func() sycamorerun.State {
 		if live := n.tracker.Live(time.Now()); len(live) > 0 {
 			return live[0].State
@@ -121,29 +121,29 @@
 		return sycamorerun.StateLeft
 	}
 	is.NoErr(n.announce(ready))
-	n.publisher.settle() // the upstream serves once its keys are taken over
+	n.publisher.waitPublished() // the upstream serves after its keys are taken over
 	is.Equal(state(), sycamorerun.StateReady)
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
 		n.drain(&http.Server{})
 	}()
-	for begun := time.Now(); state() == sycamorerun.StateReady && time.Since(begun) < delay/2; {
+	for start := time.Now(); state() == sycamorerun.StateReady && time.Since(start) < delay/2; {
 		time.Sleep(time.Millisecond)
 	}
 	is.Equal(state(), sycamorerun.StateDraining)
 	is.NoErr(n.announce(ready))
-	n.publisher.settle()
+	n.publisher.waitPublished()
 	is.Equal(state(), sycamorerun.StateDraining)
 	<-drained
 	is.Equal(state(), sycamorerun.StateLeft)
 	is.NoErr(n.announce(ready))
-	n.publisher.settle()
+	n.publisher.waitPublished()
 	is.Equal(state(), sycamorerun.StateLeft)
 }
 
-// Guards against a node that is stopped before it has a version and answers
-// that there is no route, which a caller takes for final.
+// Guards against a node that is stopped before it has a version and answers that there
+// is no route, which a caller treats as final.
 func TestStoppedBeforeReady(t *testing.T) {
 	is := is.New(t)
 	n := readyNode(t, func(s *Settings) { s.DrainDelay, s.DrainTimeout = time.Millisecond, time.Millisecond })
--- a/node/runner/settings.go
+++ b/node/runner/settings.go
@@ -9,12 +9,12 @@
 	"sycamorerun/parser"
 )
 
-// Settings are a node's process settings.
+// Settings holds the process settings of a node.
 type Settings struct {
 	Name             string
 	AvailabilityZone string
 	Region           string
-	// Service is the service of the upstream here, for Contract.Origin.
+	// Service is the service of the local upstream, for Contract.Origin.
 	Service string
 
 	Callers   netip.AddrPort
@@ -44,13 +44,13 @@
 	KeyWindow      time.Duration
 	AnnouncePeriod time.Duration
 
-	// RetryRatio is negative for the services' own.
+	// RetryRatio is negative if the services' own ratios apply.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
 
 	// MaxHeader, MaxBody, HeaderTimeout and IdleTimeout are the limits for
-	// callers that the configuration leaves to the node.
+	// callers that apply where the configuration sets none.
 	MaxHeader     int
 	MaxBody       int
 	HeaderTimeout time.Duration
@@ -63,42 +63,42 @@
 	loader.Add(l, &s.Name, "name", "", loader.Name(), "name of the instance, unique in the fleet")
 	loader.Add(l, &s.AvailabilityZone, "availability-zone", "", loader.Name(), "availability zone of the instance")
 	loader.Add(l, &s.Region, "region", "", loader.Name(), "region of the availability zone")
-	loader.Add(l, &s.Service, "service", "", loader.Text("a name, or nothing"), "service beside which this node runs, as calls that enter here name it")
+	loader.Add(l, &s.Service, "service", "", loader.Text("a name, or nothing"), "service of the upstream beside this node, sent as the origin of calls that enter at this node")
 	loader.Add(l, &s.Callers, "callers", "127.0.0.1:8080", loader.Address(), "address for callers")
-	loader.Add(l, &s.Peers, "peers", "127.0.0.1:7060", loader.Address(), "address for peers, as they reach it")
-	loader.Add(l, &s.Listen, "listen-peers", "", loader.OptionalAddress(), "address to listen on for peers, when it is not the one that they reach")
+	loader.Add(l, &s.Peers, "peers", "127.0.0.1:7060", loader.Address(), "address at which peers reach this node")
+	loader.Add(l, &s.Listen, "listen-peers", "", loader.OptionalAddress(), "address to listen on for peers, if it differs from the one at which they reach this node")
 	loader.Add(l, &s.Operators, "operators", "127.0.0.1:7070", loader.Address(), "address for operators, metrics and the local upstream")
-	loader.Add(l, &s.Seeds, "seeds", "", loader.Addresses(), "peers to join through; without any, the store is read once")
-	loader.Add(l, &s.Store, "store", "127.0.0.1:7000", loader.Address(), "object store")
+	loader.Add(l, &s.Seeds, "seeds", "", loader.Addresses(), "addresses of peers to join through; if there are none, the seed records in the store are read once")
+	loader.Add(l, &s.Store, "store", "127.0.0.1:7000", loader.Address(), "address of the object store")
 	loader.Add(l, &s.CA, "tls-ca", "", loader.Text("a PEM file"), "CA that signs the peers' certificates")
 	loader.Add(l, &s.Certificate, "tls-cert", "", loader.Text("a PEM file"), "certificate of this node")
 	loader.Add(l, &s.Key, "tls-key", "", loader.Text("a PEM file"), "private key of this node")
-	loader.Add(l, &s.Insecure, "insecure-peers", "false", loader.Bool(), "talk to peers without TLS; for tests on one host")
+	loader.Add(l, &s.Insecure, "insecure-peers", "false", loader.Bool(), "connect to peers without TLS; only for tests on one host")
 	loader.Add(l, &s.AdminHash, "admin-hash", "", adminHash(), "hash of the first administrator's token")
-	loader.Add(l, &s.Mode, "mode", "tree", loader.Choice("tree", "poll", "gossip"), "how versions spread; all but tree are baselines to measure against")
-	loader.Add(l, &s.Balance, "balance", "load", loader.Choice("load", "round-robin"), "how calls are spread; round-robin is a baseline to measure against")
+	loader.Add(l, &s.Mode, "mode", "tree", loader.Choice("tree", "poll", "gossip"), "how versions are distributed; poll and gossip are baselines for comparison")
+	loader.Add(l, &s.Balance, "balance", "load", loader.Choice("load", "round-robin"), "how calls are balanced; round-robin is a baseline for comparison")
 	loader.Add(l, &s.StandbyDelay, "standby-delay", "500ms", loader.Duration(0, 5*time.Second), "how long the standby watcher waits before it fetches an entry itself", loader.Reloadable)
-	loader.Add(l, &s.Watchers, "watchers", "0", loader.Int(0, 64), "members of the whole fleet that watch the store, the nearest first; 0 selects two for each region")
-	loader.Add(l, &s.StartWait, "start-wait", "10s", loader.Duration(0, 10*time.Minute), "how long to wait for the newest version before logging that the start is held up")
-	loader.Add(l, &s.DrainDelay, "drain-delay", "3s", loader.Duration(0, time.Minute), "how long a stopping node still takes new calls, while peers learn that it leaves", loader.Reloadable)
+	loader.Add(l, &s.Watchers, "watchers", "0", loader.Int(0, 64), "number of members in the fleet that watch the store, the nearest to it first; 0 selects two per region")
+	loader.Add(l, &s.StartWait, "start-wait", "10s", loader.Duration(0, 10*time.Minute), "how long to wait for the newest version before a warning is logged")
+	loader.Add(l, &s.DrainDelay, "drain-delay", "3s", loader.Duration(0, time.Minute), "how long a stopping node still accepts new calls, while peers learn that it is leaving", loader.Reloadable)
 	loader.Add(l, &s.DrainTimeout, "drain-timeout", "30s", loader.Duration(0, time.Hour), "how long a stopping node waits for calls in flight", loader.Reloadable)
-	loader.Add(l, &s.Keys, "keys", "true", loader.Bool(), "whether a request with an idempotency key goes to the key's owner; false hands no keys over and forwards such a request like any other")
-	loader.Add(l, &s.KeyWindow, "key-window", "10m", loader.Duration(time.Second, 24*time.Hour), "how long an idempotency key is remembered, and how long a key of a lost process gets the result unknown")
-	loader.Add(l, &s.RetryRatio, "retry-ratio", "-1", loader.Float(-1, 1), "retries of the fleet as a fraction of a service's calls; negative: the service's own setting")
+	loader.Add(l, &s.Keys, "keys", "true", loader.Bool(), "whether a request with an idempotency key goes to the key's owner; if false, keys are not transferred and such a request is forwarded like any other")
+	loader.Add(l, &s.KeyWindow, "key-window", "10m", loader.Duration(time.Second, 24*time.Hour), "how long an idempotency key is remembered, and how long requests with a key of a lost process get the outcome unknown")
+	loader.Add(l, &s.RetryRatio, "retry-ratio", "-1", loader.Float(-1, 1), "maximum retries of the fleet as a fraction of a service's calls; a negative value selects the service's own setting")
 	loader.Add(l, &s.RetryWindow, "retry-window", "10s", loader.Duration(time.Second, 10*time.Minute), "sliding window in which retries are counted")
-	loader.Add(l, &s.RetrySlack, "retry-slack", "64", loader.Float(0, 1e6), "retries of the fleet in a window beyond the ratio, for each service; divided among the nodes")
-	loader.Add(l, &s.AnnouncePeriod, "announce-period", "1500ms", loader.Duration(100*time.Millisecond, time.Minute), "time between two announcements of the upstream; it lapses after three", loader.Reloadable)
-	loader.Add(l, &s.MaxHeader, "max-header", "65536", loader.Int(1024, parser.HeaderBytes), "largest request header in bytes, unless the configuration has limits", loader.Reloadable)
-	loader.Add(l, &s.MaxBody, "max-body", "1073741824", loader.Int(0, parser.BodyBytes), "largest request body in bytes, unless the configuration has limits", loader.Reloadable)
-	loader.Add(l, &s.HeaderTimeout, "header-timeout", "10s", loader.Duration(time.Millisecond, parser.Wait), "time for a request's header, unless the configuration has limits", loader.Reloadable)
-	loader.Add(l, &s.IdleTimeout, "idle-timeout", "2m", loader.Duration(time.Millisecond, parser.Idle), "time for which a caller's connection without a request is kept, unless the configuration has limits", loader.Reloadable)
-	loader.Add(l, &s.LogLevel, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "least level logged", loader.Reloadable)
+	loader.Add(l, &s.RetrySlack, "retry-slack", "64", loader.Float(0, 1e6), "additional retries of the fleet per window and service beyond the ratio, divided among the nodes")
+	loader.Add(l, &s.AnnouncePeriod, "announce-period", "1500ms", loader.Duration(100*time.Millisecond, time.Minute), "expected time between two announcements of the upstream; after three periods without one, the upstream becomes unavailable", loader.Reloadable)
+	loader.Add(l, &s.MaxHeader, "max-header", "65536", loader.Int(1024, parser.HeaderBytes), "maximum size of a request header in bytes; a limit in the configuration takes precedence", loader.Reloadable)
+	loader.Add(l, &s.MaxBody, "max-body", "1073741824", loader.Int(0, parser.BodyBytes), "maximum size of a request body in bytes; a limit in the configuration takes precedence", loader.Reloadable)
+	loader.Add(l, &s.HeaderTimeout, "header-timeout", "10s", loader.Duration(time.Millisecond, parser.Wait), "maximum time to receive a request header; a limit in the configuration takes precedence", loader.Reloadable)
+	loader.Add(l, &s.IdleTimeout, "idle-timeout", "2m", loader.Duration(time.Millisecond, parser.Idle), "time after which an idle caller connection is closed; a limit in the configuration takes precedence", loader.Reloadable)
+	loader.Add(l, &s.LogLevel, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "minimum level of logged messages", loader.Reloadable)
 	l.AddFile()
 	l.Check(s.checkTLS)
 	l.Check(s.checkAddresses)
 }
 
-// limits returns the node's own limits for callers.
+// limits returns the limits for callers from the node's settings.
 func (s *Settings) limits() sycamorerun.Limits {
 	return sycamorerun.Limits{
 		Header: s.MaxHeader, Body: s.MaxBody,
@@ -112,16 +112,16 @@
 	return kind
 }
 
-// listen returns the address to listen on for peers.
-func (s *Settings) listen() netip.AddrPort {
+// peerListenAddress returns the address to listen on for peers.
+func (s *Settings) peerListenAddress() netip.AddrPort {
 	if s.Listen.IsValid() {
 		return s.Listen
 	}
 	return s.Peers
 }
 
-// checkTLS refuses a node that would talk to peers without authentication by
-// mistake.
+// checkTLS returns a fault unless either all TLS files or only Insecure is set, so that
+// no node connects to peers without authentication by mistake.
 func (s *Settings) checkTLS() []loader.Fault {
 	set := s.CA != "" && s.Certificate != "" && s.Key != ""
 	some := s.CA != "" || s.Certificate != "" || s.Key != ""
--- a/node/runner/stop_test.go
+++ b/node/runner/stop_test.go
@@ -16,16 +16,16 @@
 	"sycamorerun/node/manager"
 )
 
-// Guards against a stop that takes longer than its supervisor waits, when
-// peers and the store don't answer and a call hangs, and against one that
-// refuses callers while the fleet still sends to this node.
+// Guards against a stop that takes longer than the supervisor waits if peers and the
+// store don't answer and a call hangs, and against a stop that refuses callers while
+// the fleet still sends calls to this node.
 func TestStopInTime(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		hangs       bool
-		least, most time.Duration
+		hangs            bool
+		minTime, maxTime time.Duration
 	}{
-		// The bounds come from a supervisor that kills after 6 s.
+		// The supervisor kills the node after 6 s.
 		"a call hangs": {true, 4500 * time.Millisecond, 5500 * time.Millisecond},
 		"no calls":     {false, 1500 * time.Millisecond, 3500 * time.Millisecond},
 	}
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel and never answers
+			silent, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections, but nothing answers
 			is.NoErr(err)
 			defer silent.Close()
 			release := make(chan struct{})
@@ -76,19 +76,19 @@
 					time.Sleep(time.Millisecond)
 				}
 			}
-			begun := time.Now()
+			start := time.Now()
 			stop()
 			for n.api().Ready() {
-				is.True(time.Since(begun) < time.Second)
+				is.True(time.Since(start) < time.Second)
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(time.Second)
-			is.NoErr(get("/")) // in the drain delay
+			is.NoErr(get("/")) // within the drain delay
 			is.NoErr(<-ended)
-			took := time.Since(begun)
+			took := time.Since(start)
 			t.Log("stop took", took)
-			is.True(took >= c.least)
-			is.True(took <= c.most)
+			is.True(took >= c.minTime)
+			is.True(took <= c.maxTime)
 		})
 	}
 }
--- a/node/runner/tls.go
+++ b/node/runner/tls.go
@@ -8,17 +8,18 @@
 	"github.com/pkg/errors"
 )
 
-// loadTLS returns the configuration for peers, or nil for insecure peers.
+// loadTLS returns the TLS configuration for connections to peers, or nil for insecure
+// peers.
 func loadTLS(s Settings) (*tls.Config, error) {
 	if s.Insecure {
 		return nil, nil
 	}
-	authority, err := os.ReadFile(s.CA)
+	caPEM, err := os.ReadFile(s.CA)
 	if err != nil {
 		return nil, errors.Wrap(err, "read CA")
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(authority) {
+	if !pool.AppendCertsFromPEM(caPEM) {
 		return nil, errors.Errorf("no certificate in %s", s.CA)
 	}
 	certificate, err := tls.LoadX509KeyPair(s.Certificate, s.Key)
--- a/node/runner/upstream.go
+++ b/node/runner/upstream.go
@@ -17,38 +17,39 @@
 	"sycamorerun/node/requester"
 )
 
-// Defaults until the service's settings are known.
+// Default limits until the settings of the service are known.
 const (
 	defaultQueue       = 12
 	defaultConnections = 130
 )
 
-// localUpstream is the upstream beside this node: its announcement in force,
-// the transport to it and the limits that apply to it.
+// localUpstream is the upstream beside this node: its current announcement, the
+// transport to it and its limits.
 type localUpstream struct {
 	announcer *announcer.Announcer
-	// contract names the headers that the upstream uses.
+	// contract returns the names of the headers that the upstream uses.
 	contract func() forwarder.Contract
-	// changed is called when the announcer may have dropped the upstream.
-	changed func(now time.Time)
+	// onChange is called when the announcer may have made the upstream unavailable.
+	onChange func(now time.Time)
 
 	mutex        sync.Mutex
 	announcement manager.Announcement
 	limits       limiter.Limits
 	transport    *requester.Requester
-	// open says that calls may start.
-	open bool
+	// accepting is set while calls may start.
+	accepting bool
 }
 
-// RoundTrip implements http.RoundTripper with the current transport. A request
-// that entered the queue before the upstream left or was replaced is not sent.
+// RoundTrip implements http.RoundTripper with the current transport. It returns
+// forwarder.ErrDraining for a request that was queued before the upstream left or was
+// replaced.
 func (u *localUpstream) RoundTrip(request *http.Request) (*http.Response, error) {
 	service, target := forwarder.ServiceOf(request.Context()), request.Header.Get(u.contract().Target)
 	u.mutex.Lock()
 	transport, id := u.transport, u.announcement.ID
-	open := u.admitsLocked(service) && (target == "" || target == id)
+	accepted := u.admitsLocked(service) && (target == "" || target == id)
 	u.mutex.Unlock()
-	if !open {
+	if !accepted {
 		if request.Body != nil {
 			_ = request.Body.Close()
 		}
@@ -59,19 +60,20 @@
 	return response, err
 }
 
-// observe tells the announcer what a request says about the upstream.
+// observe reports to the announcer what the result of a request implies about the
+// upstream.
 func (u *localUpstream) observe(transport *requester.Requester, id string, err error) {
 	u.mutex.Lock()
 	replaced := u.transport != transport
 	u.mutex.Unlock()
 	now := time.Now()
-	var failed *requester.Failure
+	var failure *requester.Failure
 	switch {
 	case replaced:
 		return
 	case errors.Is(err, syscall.ECONNREFUSED):
 		u.announcer.ConnectionRefused(now)
-	case errors.As(err, &failed) && failed.Reason == requester.ReasonMisdirected:
+	case errors.As(err, &failure) && failure.Reason == requester.ReasonMisdirected:
 		u.announcer.Misdirected(now, id)
 	case err == nil:
 		u.announcer.ConnectionSucceeded()
@@ -79,10 +81,10 @@
 	default:
 		return
 	}
-	u.changed(now)
+	u.onChange(now)
 }
 
-// admits reports whether a call to service may enter the queue.
+// admits reports whether a call to service may be queued.
 func (u *localUpstream) admits(service string) bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -90,12 +92,12 @@
 }
 
 func (u *localUpstream) admitsLocked(service string) bool {
-	return u.open && (service == "" || service == u.announcement.Service)
+	return u.accepting && (service == "" || service == u.announcement.Service)
 }
 
-// update takes an announcement and the service's settings, lets calls start,
-// and returns the limits in force and whether the upstream is another one than
-// before.
+// update applies an announcement and the settings of its service, and lets calls
+// start. It returns the limits, and whether the upstream replaced one of another
+// service.
 func (u *localUpstream) update(announcement manager.Announcement, service sycamorerun.Service, known bool) (limits limiter.Limits, replaced bool) {
 	limits = limiter.Limits{Slots: announcement.Slots, Queue: defaultQueue, Connections: defaultConnections}
 	if known {
@@ -104,40 +106,41 @@
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	old := u.announcement
-	moved := old.ID != announcement.ID || old.Boot != announcement.Boot || old.Address != announcement.Address
-	if u.transport == nil || moved || u.limits.Connections != limits.Connections {
+	changed := old.ID != announcement.ID || old.Boot != announcement.Boot || old.Address != announcement.Address
+	if u.transport == nil || changed || u.limits.Connections != limits.Connections {
 		if u.transport != nil {
-			// Requests in flight keep their connections; idle ones go.
+			// Only idle connections are closed. Requests in flight keep theirs.
 			defer u.transport.Close()
 		}
 		u.transport = forwarder.Transport(announcement.Address, limits.Connections, u.contract())
 	}
-	u.announcement, u.limits, u.open = announcement, limits, true
+	u.announcement, u.limits, u.accepting = announcement, limits, true
 	return limits, old.Service != "" && old.Service != announcement.Service
 }
 
-// close lets no further call start.
+// close prevents further calls from starting.
 func (u *localUpstream) close() {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	u.open = false
+	u.accepting = false
 }
 
-// service returns the announcement in force last, with no service before the
-// first one.
+// service returns the last announcement that was applied, and whether there has been
+// one.
 func (u *localUpstream) service() (manager.Announcement, bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.announcement, u.announcement.Service != ""
 }
 
-// id returns the id of the upstream instance.
+// id returns the id of the upstream instance, or an empty string before the first
+// announcement.
 func (u *localUpstream) id() string {
 	announcement, _ := u.service()
 	return announcement.ID
 }
 
-// callerServer returns the HTTP server for callers, over HTTP/1.1 or HTTP/2
+// callerServer returns the HTTP server for callers. It serves HTTP/1.1 and HTTP/2
 // without TLS.
 func callerServer(address netip.AddrPort, c *calls, wrap func(http.Handler) http.Handler) *http.Server {
 	server := c.forwarder.Server()
