--- a/node/manager/fleet.go
+++ b/node/manager/fleet.go
@@ -13,7 +13,7 @@
 // fleetService implements fleet.Service.
 type fleetService struct{ *Manager }
 
-var problemSurvey = problem{"unavailable", "survey-failed", "the fleet could not be asked now"}
+var problemSurveyFailed = problem{"unavailable", "survey-failed", "the fleet could not be asked now"}
 
 func fleetProblem(p problem) *fleet.Problem {
 	return &fleet.Problem{Name: p.name, Code: p.code, Reason: p.reason}
@@ -52,13 +52,13 @@
 	results := []*fleet.RouteState{}
 	for _, route := range s.Manager.Routes() {
 		if payload.Team == nil || *payload.Team == route.Path.Team() {
-			results = append(results, routeState(route))
+			results = append(results, toRouteState(route))
 		}
 	}
 	return results, nil
 }
 
-func routeState(route Route) *fleet.RouteState {
+func toRouteState(route Route) *fleet.RouteState {
 	result := &fleet.RouteState{Route: string(route.Path), State: route.State, Targets: []*fleet.Target{}}
 	if !route.Since.IsZero() {
 		result.Since = pointer(route.Since.UTC().Format(time.RFC3339Nano))
@@ -75,7 +75,7 @@
 func (s *fleetService) Convergence(ctx context.Context, _ *fleet.ConvergencePayload) (*fleet.ConvergenceResult, error) {
 	convergence, err := s.Manager.Convergence(ctx)
 	if err != nil {
-		return nil, fleetProblem(problemSurvey)
+		return nil, fleetProblem(problemSurveyFailed)
 	}
 	result := &fleet.ConvergenceResult{
 		Newest: uint64(convergence.Newest), Nodes: convergence.Nodes, Silent: convergence.Silent,
@@ -109,7 +109,7 @@
 		result.Repeatable = &explanation.Repeatable
 	}
 	if explanation.State != nil {
-		result.State = routeState(*explanation.State)
+		result.State = toRouteState(*explanation.State)
 	}
 	for _, c := range explanation.Candidates {
 		result.Candidates = append(result.Candidates, &fleet.Candidate{
--- a/node/manager/handler.go
+++ b/node/manager/handler.go
@@ -16,17 +16,17 @@
 	"sycamorerun/api/gen/upstream"
 )
 
-// maxBody bounds a request to the API; a settings file is at most 4 MiB, and
-// JSON escapes can double it.
-const maxBody = 9 << 20
+// maxBodyBytes bounds the body of a request to the API. A settings file is at most
+// 4 MiB, and JSON escapes can double its size.
+const maxBodyBytes = 9 << 20
 
-// Handler returns the handler for the operators' address.
+// Handler returns the HTTP handler for the operators' address.
 func (m *Manager) Handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
-	settingsHandlers := settingsserver.New(settings.NewEndpoints(&settingsService{m}), mux, decoder, encoder, m.logFailure, nil)
-	fleetHandlers := fleetserver.New(fleet.NewEndpoints(&fleetService{m}), mux, decoder, encoder, m.logFailure, nil)
-	upstreamHandlers := upstreamserver.New(upstream.NewEndpoints(&upstreamService{m}), mux, decoder, encoder, m.logFailure, nil)
+	settingsHandlers := settingsserver.New(settings.NewEndpoints(&settingsService{m}), mux, decoder, encoder, m.logWriteError, nil)
+	fleetHandlers := fleetserver.New(fleet.NewEndpoints(&fleetService{m}), mux, decoder, encoder, m.logWriteError, nil)
+	upstreamHandlers := upstreamserver.New(upstream.NewEndpoints(&upstreamService{m}), mux, decoder, encoder, m.logWriteError, nil)
 	upstreamHandlers.Use(loopbackOnly)
 	settingsserver.Mount(mux, settingsHandlers)
 	fleetserver.Mount(mux, fleetHandlers)
@@ -36,10 +36,10 @@
 	})
 	mux.Handle(http.MethodGet, "/readyz", m.ready)
 	mux.Handle(http.MethodGet, "/metrics", m.Metrics.ServeHTTP)
-	return http.MaxBytesHandler(mux, maxBody)
+	return http.MaxBytesHandler(mux, maxBodyBytes)
 }
 
-// ready answers 200 only while the node takes calls.
+// ready serves the readiness probe. It responds with 200 only in the ready phase.
 func (m *Manager) ready(w http.ResponseWriter, _ *http.Request) {
 	phase := m.Status().Phase
 	if phase != PhaseReady {
@@ -48,12 +48,12 @@
 	_, _ = w.Write([]byte(phase + "\n"))
 }
 
-func (m *Manager) logFailure(_ context.Context, _ http.ResponseWriter, err error) {
-	level.Warn(m.Logger).Log("msg", "answer to an operator could not be written", "err", err)
+func (m *Manager) logWriteError(_ context.Context, _ http.ResponseWriter, err error) {
+	level.Warn(m.Logger).Log("msg", "failed to write the response to an operator's request", "err", err)
 }
 
-// loopbackOnly refuses requests from other hosts: only the upstream beside
-// the node may announce itself.
+// loopbackOnly refuses requests from other hosts, since only the upstream beside the
+// node may announce itself.
 func loopbackOnly(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		address, err := netip.ParseAddrPort(r.RemoteAddr)
--- a/node/manager/manager.go
+++ b/node/manager/manager.go
@@ -1,5 +1,5 @@
-// Package manager serves the operators' API, the announcements of the
-// upstream beside the node, health, readiness and metrics.
+// Package manager serves the operators' API, the announcements of the upstream beside
+// the node, the health and readiness probes and the metrics.
 package manager
 
 import (
@@ -14,10 +14,10 @@
 	"sycamorerun/node/authenticator"
 )
 
-// Phase is the node's place in its life cycle.
+// Phase is a phase of the node's life cycle.
 type Phase string
 
-// Phases of a node.
+// Phases of a node, in their order.
 const (
 	PhaseStarting Phase = "starting"
 	PhaseReady    Phase = "ready"
@@ -25,43 +25,49 @@
 	PhaseStopped  Phase = "stopped"
 )
 
-// Status is the node's own state.
+// Status describes the state of this node.
 type Status struct {
-	Phase    Phase
+	Phase Phase
+	// Refused is the number of versions that this node refused since its start.
+	// Fault describes the last refusal, until that version or a later one is active.
 	Refused  uint64
 	Fault    string
 	Sessions int
 	Members  int
+	// Watching is set if this node watches the store.
 	Watching bool
-	// Unserved and Partial count the routes without upstreams.
+	// Unserved and Partial count the routes that have no upstream for all or some
+	// of their calls.
 	Unserved int
 	Partial  int
 }
 
-// Target is a service of a route's split.
+// Target is a service in the traffic split of a route.
 type Target struct {
-	Service   string
-	Share     float64
+	Service string
+	// Share is the fraction of the route's calls that go to the service.
+	Share float64
+	// Upstreams is the number of the service's upstreams that accept calls.
 	Upstreams int
 }
 
-// Route is a route in force and whether its services have upstreams.
+// Route is an active route and the state of its services.
 type Route struct {
 	Path  sycamorerun.Path
 	State string
-	// Since is when the route came into a state other than served, zero when
-	// that is not known.
+	// Since is the time when the route entered its state. It is zero if the route is
+	// served or the time is unknown.
 	Since   time.Time
 	Targets []Target
 }
 
-// Member is an instance with what failure detection says about it.
+// Member is an instance and the verdict of the failure detector.
 type Member struct {
 	sycamorerun.Instance
 	Suspect bool
 }
 
-// Proposal is a change that waits for review.
+// Proposal is a change that waits for a review.
 type Proposal struct {
 	ID         string
 	Team       string
@@ -71,24 +77,28 @@
 	Difference sycamorerun.Difference
 }
 
-// Laggard is a node that is behind the newest version.
+// Laggard is a node whose active version is older than the newest one.
 type Laggard struct {
 	Name    string
 	Version sycamorerun.Version
-	Since   time.Time
-	Fault   string
+	// Since is the time since when the node has been behind.
+	Since time.Time
+	Fault string
 }
 
-// Convergence says which versions are in force on how many nodes.
+// Convergence describes how many nodes have which version.
 type Convergence struct {
-	Newest   sycamorerun.Version
-	Nodes    int
-	Silent   int
+	Newest sycamorerun.Version
+	// Nodes is the number of nodes that responded, and Silent the number of live
+	// members that did not.
+	Nodes  int
+	Silent int
+	// Versions counts the nodes by their active version.
 	Versions map[sycamorerun.Version]int
 	Laggards []Laggard
 }
 
-// Query is a request to explain.
+// Query describes a request whose routing is explained.
 type Query struct {
 	Method  string
 	Host    string
@@ -96,42 +106,45 @@
 	Headers map[string]string
 }
 
-// Candidate is an upstream that a call could go to.
+// Candidate is an upstream that can receive the call.
 type Candidate struct {
 	Instance         string
 	AvailabilityZone string
 	State            sycamorerun.State
-	Chance           float64
-	Reason           string
+	// Chance is the probability, 0 to 1, that the next call goes to the instance.
+	Chance float64
+	Reason string
 }
 
-// Explanation says which route and upstream a request would take.
+// Explanation describes the routing of a request.
 type Explanation struct {
 	Route      string
 	Class      sycamorerun.Class
 	Repeatable bool
 	Steps      []string
 	Candidates []Candidate
-	// State is nil when no route matches.
+	// State is nil if no route matches.
 	State *Route
 }
 
-// Announcement is what the upstream beside the node says about itself.
+// Announcement describes the upstream beside the node, which sends it.
 type Announcement struct {
-	// ID names the upstream instance; it is empty in the operators' API.
+	// ID identifies the upstream instance. It is empty in the operators' API.
 	ID      string
 	Service string
 	Address netip.AddrPort
 	State   sycamorerun.State
 	Slots   int
-	// Warmup is the time for which the upstream stays slow.
+	// Warmup is the remaining time of the slow start.
 	Warmup time.Duration
-	// Sequence and Boot order announcements, see announcer.Announcement.
+	// Sequence and Boot define the order of announcements, see
+	// announcer.Announcement.
 	Sequence uint64
 	Boot     int64
 }
 
-// Manager implements the services of the API. Set the fields before Handler.
+// Manager implements the services of the API. Its fields must be set before Handler is
+// called.
 type Manager struct {
 	Name             string
 	AvailabilityZone string
@@ -140,9 +153,13 @@
 	Metrics          http.Handler
 	Now              func() time.Time
 
-	Identify    func(token string) (authenticator.Identity, bool)
-	Current     func() (sycamorerun.Tree, sycamorerun.Hash)
-	Parse       func(text []byte) (team string, items map[sycamorerun.Path]sycamorerun.Item, faults []sycamorerun.Fault)
+	// Identify returns the identity of the holder of a token.
+	Identify func(token string) (authenticator.Identity, bool)
+	// Current returns the active tree and its hash.
+	Current func() (sycamorerun.Tree, sycamorerun.Hash)
+	// Parse parses a settings file.
+	Parse func(text []byte) (team string, items map[sycamorerun.Path]sycamorerun.Item, faults []sycamorerun.Fault)
+	// Validate returns the faults of the items of a whole tree.
 	Validate    func(items map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault
 	Submit      func(ctx context.Context, change sycamorerun.Change) sycamorerun.Outcome
 	Lookup      func(ctx context.Context, id string) (sycamorerun.Outcome, bool)
--- a/node/manager/manager_test.go
+++ b/node/manager/manager_test.go
@@ -20,7 +20,8 @@
 
 const id = "00000000-0000-4000-8000-000000000001"
 
-// harness is a manager over fakes that records what reaches them.
+// harness holds a manager with fake dependencies that record the changes and
+// announcements that they receive.
 type harness struct {
 	manager   *manager.Manager
 	submitted []sycamorerun.Change
@@ -68,36 +69,36 @@
 	if token != "" {
 		request.Header.Set("Authorization", "Bearer "+token)
 	}
-	answer := httptest.NewRecorder()
-	h.manager.Handler().ServeHTTP(answer, request)
+	recorder := httptest.NewRecorder()
+	h.manager.Handler().ServeHTTP(recorder, request)
 	var fields map[string]any
-	_ = json.Unmarshal(answer.Body.Bytes(), &fields) // Some answers are no objects.
-	return answer.Code, fields
+	_ = json.Unmarshal(recorder.Body.Bytes(), &fields) // not every response is an object
+	return recorder.Code, fields
 }
 
-// list reads an answer that is a list.
+// list requests path and decodes a response that is a list.
 func (h *harness) list(path, token string) (int, []any) {
 	request := httptest.NewRequest(http.MethodGet, path, nil)
 	request.Header.Set("Authorization", "Bearer "+token)
-	answer := httptest.NewRecorder()
-	h.manager.Handler().ServeHTTP(answer, request)
+	recorder := httptest.NewRecorder()
+	h.manager.Handler().ServeHTTP(recorder, request)
 	var list []any
-	_ = json.Unmarshal(answer.Body.Bytes(), &list) // An error is no list.
-	return answer.Code, list
+	_ = json.Unmarshal(recorder.Body.Bytes(), &list) // an error response is not a list
+	return recorder.Code, list
 }
 
 const loopback, remote = "127.0.0.1:40000", "10.0.0.9:40000"
 
-// Guards against a request that changes a subtree without its team's token,
-// or that reaches the acceptor malformed.
+// Guards against requests that change a subtree without its team's token, and against
+// malformed requests that reach the acceptor.
 func TestSubmit(t *testing.T) {
 	cases := map[string]struct {
-		token  string
-		body   string
-		status int
-		code   string
-		passed bool
-		// phase is that of the node, ready if empty.
+		token     string
+		body      string
+		status    int
+		code      string
+		submitted bool
+		// phase is the node's phase. Empty means ready.
 		phase manager.Phase
 	}{
 		"own team":       {"token-of-a", `{"id":"` + id + `","kind":"apply","team":"a","settings":"a"}`, 200, "", true, ""},
@@ -128,22 +129,22 @@
 			if c.code != "" {
 				is.Equal(fields["code"], c.code)
 			}
-			is.Equal(len(h.submitted) == 1, c.passed)
-			if status == http.StatusOK && !c.passed {
+			is.Equal(len(h.submitted) == 1, c.submitted)
+			if status == http.StatusOK && !c.submitted {
 				is.Equal(fields["status"], "refused")
 			}
 		})
 	}
 }
 
-// Guards against announcements from other hosts, which could draw calls to an
-// address of their choice.
+// Guards against announcements from other hosts, which could redirect calls to an
+// address of their choice, and against malformed ones.
 func TestAnnounce(t *testing.T) {
 	const good = `{"service":"x","address":"127.0.0.1:9000","state":"ready","slots":6}`
 	cases := map[string]struct {
 		body, from string
 		status     int
-		passed     bool
+		announced  bool
 	}{
 		"loopback":      {good, loopback, 204, true},
 		"loopback IPv6": {good, "[::1]:40000", 204, true},
@@ -159,26 +160,27 @@
 			h := newHarness()
 			status, _ := h.send(http.MethodPut, "/v1/announcement", "", c.body, c.from)
 			is.Equal(status, c.status)
-			is.Equal(len(h.announced) == 1, c.passed)
+			is.Equal(len(h.announced) == 1, c.announced)
 		})
 	}
 }
 
-// Guards against a readiness that says the same as health, and against a
-// look-up that reports a change as unknown although no version has it.
-func TestPages(t *testing.T) {
+// Guards against a readiness probe that equals the health probe, against a look-up that
+// returns an unknown outcome for a change that no version has, and against responses
+// that are not filtered by team.
+func TestReadEndpoints(t *testing.T) {
 	is := is.New(t)
 	h := newHarness()
-	for phase, wanted := range map[manager.Phase]int{
+	for phase, want := range map[manager.Phase]int{
 		manager.PhaseStarting: 503, manager.PhaseReady: 200, manager.PhaseDraining: 503, manager.PhaseStopped: 503,
 	} {
 		h.phase = phase
 		status, _ := h.send(http.MethodGet, "/readyz", "", "", remote)
-		is.Equal(status, wanted)
+		is.Equal(status, want)
 		status, _ = h.send(http.MethodGet, "/healthz", "", "", remote)
 		is.Equal(status, 200)
 	}
-	h.phase = manager.PhaseReady // the map ended with any phase
+	h.phase = manager.PhaseReady // the map is iterated in random order
 	status, fields := h.send(http.MethodGet, "/v1/changes/"+id, "token-of-a", "", remote)
 	is.Equal(status, 404)
 	is.Equal(fields["code"], "unknown-change")
--- a/node/manager/problem.go
+++ b/node/manager/problem.go
@@ -8,28 +8,28 @@
 	"sycamorerun/node/authenticator"
 )
 
-// problem is an error of the API before it takes the service's own type. The
-// name selects the HTTP status.
+// problem is an API error. Each service converts it to its own generated type. The name
+// selects the HTTP status.
 type problem struct {
 	name   string
 	code   string
 	reason string
 }
 
-// Problems of the API with their stable codes.
+// Problems of the API. Clients rely on their codes.
 var (
-	problemToken = problem{"unauthorized", "unknown-token", "the bearer token is missing or not known"}
-	problemTeam  = problem{"forbidden", "wrong-team", "the token's team does not own this subtree"}
-	problemID    = problem{"missing", "unknown-change", "no change with this id among the versions that are kept"}
-	problemStore = problem{"unavailable", "store-unavailable", "the object store can't be reached now"}
-	// Without a configuration a node knows no team's token. A client that was told
-	// that its token is wrong would give up a change that may be under way.
+	problemUnknownToken     = problem{"unauthorized", "unknown-token", "the bearer token is missing or not known"}
+	problemWrongTeam        = problem{"forbidden", "wrong-team", "the token's team does not own this subtree"}
+	problemUnknownChange    = problem{"missing", "unknown-change", "no change with this id among the versions that are kept"}
+	problemStoreUnavailable = problem{"unavailable", "store-unavailable", "the object store can't be reached now"}
+	// Without a configuration, a node knows no team's token. If it reported the token
+	// as wrong, the client would give up on a change that may still be in progress.
 	problemStarting = problem{"unavailable", "starting", "the node has just started and has no configuration yet"}
 )
 
 type identityKey struct{}
 
-// authenticate returns a context that carries the token's identity, or a problem.
+// authenticate returns a context with the identity of the token's holder, or a problem.
 func (m *Manager) authenticate(ctx context.Context, token string) (context.Context, *problem) {
 	identity, ok := m.Identify(token)
 	switch {
@@ -38,7 +38,7 @@
 	case token != "" && m.Status().Phase == PhaseStarting:
 		return nil, &problemStarting
 	default:
-		return nil, &problemToken
+		return nil, &problemUnknownToken
 	}
 }
 
@@ -49,18 +49,18 @@
 
 // APIKeyAuth implements settings.Auther.
 func (s *settingsService) APIKeyAuth(ctx context.Context, key string, _ *security.APIKeyScheme) (context.Context, error) {
-	ctx, found := s.authenticate(ctx, key)
-	if found != nil {
-		return nil, settingsProblem(*found)
+	ctx, failure := s.authenticate(ctx, key)
+	if failure != nil {
+		return nil, settingsProblem(*failure)
 	}
 	return ctx, nil
 }
 
 // APIKeyAuth implements fleet.Auther.
 func (s *fleetService) APIKeyAuth(ctx context.Context, key string, _ *security.APIKeyScheme) (context.Context, error) {
-	ctx, found := s.authenticate(ctx, key)
-	if found != nil {
-		return nil, fleetProblem(*found)
+	ctx, failure := s.authenticate(ctx, key)
+	if failure != nil {
+		return nil, fleetProblem(*failure)
 	}
 	return ctx, nil
 }
--- a/node/manager/settings.go
+++ b/node/manager/settings.go
@@ -38,45 +38,45 @@
 func (s *settingsService) Submit(ctx context.Context, payload *settings.SubmitPayload) (*settings.Outcome, error) {
 	identity := identityOf(ctx)
 	if identity.Team != payload.Team {
-		return nil, settingsProblem(problemTeam)
+		return nil, settingsProblem(problemWrongTeam)
 	}
-	change, faults := s.change(identity, payload)
+	change, faults := s.newChange(identity, payload)
 	if len(faults) > 0 {
-		return outcome(sycamorerun.Outcome{ID: payload.ID, Status: sycamorerun.StatusRefused, Faults: faults}), nil
+		return toOutcome(sycamorerun.Outcome{ID: payload.ID, Status: sycamorerun.StatusRefused, Faults: faults}), nil
 	}
-	return outcome(s.Manager.Submit(ctx, change)), nil
+	return toOutcome(s.Manager.Submit(ctx, change)), nil
 }
 
-// change turns a payload into a change, or the faults that keep it from
-// being one.
-func (s *settingsService) change(identity authenticator.Identity, payload *settings.SubmitPayload) (sycamorerun.Change, []sycamorerun.Fault) {
+// newChange converts a payload to a change. For an invalid payload, it returns the
+// faults.
+func (s *settingsService) newChange(identity authenticator.Identity, payload *settings.SubmitPayload) (sycamorerun.Change, []sycamorerun.Fault) {
 	change := sycamorerun.Change{
 		ID: payload.ID, Kind: sycamorerun.ChangeKind(payload.Kind), Team: payload.Team, Operator: identity.Operator,
-		Base: sycamorerun.Version(value(payload.Base)), Target: sycamorerun.Version(value(payload.Version)),
-		Proposal: value(payload.Proposal),
+		Base: sycamorerun.Version(valueOrZero(payload.Base)), Target: sycamorerun.Version(valueOrZero(payload.Version)),
+		Proposal: valueOrZero(payload.Proposal),
 	}
 	var faults []sycamorerun.Fault
 	switch change.Kind {
 	case sycamorerun.Apply:
-		change.Items, faults = s.parse(payload.Team, value(payload.Settings))
+		change.Items, faults = s.parseSettings(payload.Team, valueOrZero(payload.Settings))
 	case sycamorerun.Place:
-		change.Hold, faults = s.hold(identity, payload)
+		change.Hold, faults = s.newHold(identity, payload)
 	case sycamorerun.Approve, sycamorerun.Reject:
-		change.Content, faults = parseContent(value(payload.Content))
+		change.Content, faults = parseContentHash(valueOrZero(payload.Content))
 	}
 	return change, faults
 }
 
-func (s *settingsService) parse(team, text string) (map[sycamorerun.Path]sycamorerun.Item, []sycamorerun.Fault) {
-	owner, items, faults := s.Parse([]byte(text))
-	if len(faults) == 0 && owner != team {
-		faults = []sycamorerun.Fault{{Code: "wrong-team", Path: "team", Reason: "the settings are of team " + owner + ", the request is for team " + team}}
+func (s *settingsService) parseSettings(team, text string) (map[sycamorerun.Path]sycamorerun.Item, []sycamorerun.Fault) {
+	fileTeam, items, faults := s.Parse([]byte(text))
+	if len(faults) == 0 && fileTeam != team {
+		faults = []sycamorerun.Fault{{Code: "wrong-team", Path: "team", Reason: "the settings are of team " + fileTeam + ", the request is for team " + team}}
 	}
 	return items, faults
 }
 
-func (s *settingsService) hold(identity authenticator.Identity, payload *settings.SubmitPayload) (sycamorerun.Hold, []sycamorerun.Fault) {
-	hold := sycamorerun.Hold{Operator: identity.Operator, Reason: value(payload.Reason), Since: s.Now().UTC()}
+func (s *settingsService) newHold(identity authenticator.Identity, payload *settings.SubmitPayload) (sycamorerun.Hold, []sycamorerun.Fault) {
+	hold := sycamorerun.Hold{Operator: identity.Operator, Reason: valueOrZero(payload.Reason), Since: s.Now().UTC()}
 	if hold.Reason == "" {
 		return hold, []sycamorerun.Fault{{Code: "missing-reason", Path: "reason", Reason: "a hold needs a reason"}}
 	}
@@ -91,7 +91,7 @@
 	return hold, nil
 }
 
-func parseContent(text string) (sycamorerun.Hash, []sycamorerun.Fault) {
+func parseContentHash(text string) (sycamorerun.Hash, []sycamorerun.Fault) {
 	var hash sycamorerun.Hash
 	if data, err := hex.DecodeString(text); err == nil && len(data) == len(hash) {
 		copy(hash[:], data)
@@ -104,42 +104,42 @@
 func (s *settingsService) OutcomeEndpoint(ctx context.Context, payload *settings.OutcomePayload) (*settings.Outcome, error) {
 	found, ok := s.Lookup(ctx, payload.ID)
 	if !ok {
-		return nil, settingsProblem(problemID)
+		return nil, settingsProblem(problemUnknownChange)
 	}
-	return outcome(found), nil
+	return toOutcome(found), nil
 }
 
 // Check implements settings.Service.
 func (s *settingsService) Check(_ context.Context, payload *settings.CheckPayload) (*settings.CheckResult, error) {
 	tree, _ := s.Current()
 	result := &settings.CheckResult{Version: uint64(tree.Version), Faults: []*settings.Fault{}, Differences: []*settings.Difference{}}
-	items, faults := s.parse(payload.Team, payload.Settings)
+	items, faults := s.parseSettings(payload.Team, payload.Settings)
 	if len(faults) > 0 {
-		result.Faults = fromFaults(faults)
+		result.Faults = toFaults(faults)
 		return result, nil
 	}
 	before := tree.Subtree(payload.Team)
 	difference := differ.Compare(withoutHold(before), items)
-	result.Faults = fromFaults(s.Validate(differ.Apply(tree, tree.Version, difference).Items))
-	result.Differences = differences(before, difference)
+	result.Faults = toFaults(s.Validate(differ.Apply(tree, tree.Version, difference).Items))
+	result.Differences = toDifferences(before, difference)
 	return result, nil
 }
 
-// withoutHold leaves out the hold, which a settings file does not contain.
+// withoutHold returns items without the hold, which a settings file does not contain.
 func withoutHold(items map[sycamorerun.Path]sycamorerun.Item) map[sycamorerun.Path]sycamorerun.Item {
-	rest := maps.Clone(items)
-	maps.DeleteFunc(rest, func(path sycamorerun.Path, _ sycamorerun.Item) bool {
+	result := maps.Clone(items)
+	maps.DeleteFunc(result, func(path sycamorerun.Path, _ sycamorerun.Item) bool {
 		_, kind, _ := path.Split()
 		return kind == sycamorerun.KindHold
 	})
-	return rest
+	return result
 }
 
 // Proposals implements settings.Service.
 func (s *settingsService) Proposals(ctx context.Context, payload *settings.ProposalsPayload) ([]*settings.Proposal, error) {
 	proposals, err := s.Manager.Proposals(ctx, payload.Team)
 	if err != nil {
-		return nil, settingsProblem(problemStore)
+		return nil, settingsProblem(problemStoreUnavailable)
 	}
 	tree, _ := s.Current()
 	before := tree.Subtree(payload.Team)
@@ -147,7 +147,7 @@
 	for _, p := range proposals {
 		results = append(results, &settings.Proposal{
 			ID: p.ID, Team: p.Team, Operator: p.Operator, Content: hex.EncodeToString(p.Content[:]),
-			Time: p.Time.Format(time.RFC3339), Differences: differences(before, p.Difference),
+			Time: p.Time.Format(time.RFC3339), Differences: toDifferences(before, p.Difference),
 		})
 	}
 	return results, nil
@@ -156,7 +156,7 @@
 // History implements settings.Service.
 func (s *settingsService) History(ctx context.Context, payload *settings.HistoryPayload) ([]*settings.Accepted, error) {
 	results := []*settings.Accepted{}
-	for _, entry := range s.Manager.History(ctx, value(payload.Team), payload.Limit) {
+	for _, entry := range s.Manager.History(ctx, valueOrZero(payload.Team), payload.Limit) {
 		for _, change := range entry.Changes {
 			if payload.Team != nil && change.Team != *payload.Team {
 				continue
@@ -170,8 +170,8 @@
 	return results[:min(len(results), payload.Limit)], nil
 }
 
-func outcome(o sycamorerun.Outcome) *settings.Outcome {
-	result := &settings.Outcome{ID: o.ID, Status: string(o.Status), Faults: fromFaults(o.Faults)}
+func toOutcome(o sycamorerun.Outcome) *settings.Outcome {
+	result := &settings.Outcome{ID: o.ID, Status: string(o.Status), Faults: toFaults(o.Faults)}
 	if o.Version > 0 {
 		result.Version = pointer(uint64(o.Version))
 	}
@@ -181,7 +181,7 @@
 	return result
 }
 
-func fromFaults(faults []sycamorerun.Fault) []*settings.Fault {
+func toFaults(faults []sycamorerun.Fault) []*settings.Fault {
 	results := []*settings.Fault{}
 	for _, f := range faults {
 		result := &settings.Fault{Code: f.Code, Path: f.Path, Reason: f.Reason}
@@ -193,7 +193,7 @@
 	return results
 }
 
-func differences(before map[sycamorerun.Path]sycamorerun.Item, difference sycamorerun.Difference) []*settings.Difference {
+func toDifferences(before map[sycamorerun.Path]sycamorerun.Item, difference sycamorerun.Difference) []*settings.Difference {
 	results := []*settings.Difference{}
 	for _, path := range slices.Sorted(maps.Keys(difference.Put)) {
 		result := &settings.Difference{Path: string(path), After: pointer(string(difference.Put[path]))}
@@ -210,8 +210,8 @@
 
 func pointer[T any](v T) *T { return &v }
 
-// value returns what p points at, or the zero value.
-func value[T any](p *T) T {
+// valueOrZero returns the value that p points to, or the zero value if p is nil.
+func valueOrZero[T any](p *T) T {
 	var zero T
 	if p == nil {
 		return zero
