--- a/node/runner/publisher.go
+++ b/node/runner/publisher.go
@@ -14,7 +14,7 @@
 	slots   int
 }
 
-func (p advertisement) serving() bool { return sycamorerun.Instance{State: p.state}.Serving() }
+func (a advertisement) serving() bool { return sycamorerun.Instance{State: a.state}.Serving() }
 
 // absenceThreshold is the minimum time after which the members may count this
 // upstream as not serving: the time since its record was published, if the record is
@@ -25,13 +25,16 @@
 // the upstream starts or stops serving, it transfers the ownership of the keys in the
 // background.
 type publisher struct {
-	publish     func(advertisement)
+	publish func(advertisement)
+	// join takes over the keys of this node, and leave hands them over.
 	join, leave func()
 	// keysDisabled is set if there are no keys to transfer.
 	keysDisabled bool
 
 	mutex   sync.Mutex
 	desired advertisement
+	// serving is set from the start of a join to the start of a leave, unless the
+	// members stop counting the upstream as serving.
 	serving bool
 	// lastTransfer is the end of the last transfer.
 	lastTransfer time.Time
@@ -40,8 +43,8 @@
 	transferDone chan struct{}
 }
 
-// setDesired publishes an advertisement. It does so immediately unless the keys have
-// to be transferred first.
+// setDesired publishes an advertisement, immediately unless the keys have to be
+// transferred first.
 func (p *publisher) setDesired(next advertisement) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -22,8 +22,8 @@
 	"sycamorerun/persister"
 )
 
-// lingerDivisor sets the time after the drain delay during which new calls from
-// callers are still served to DrainTimeout/lingerDivisor. The remaining time is for
+// lingerDivisor is the divisor of the drain timeout that gives the time after the drain
+// delay in which new calls from callers are still served. The remaining time is for
 // calls in flight.
 const lingerDivisor = 3
 
