--- a/bench/caller/caller.go
+++ b/bench/caller/caller.go
@@ -30,8 +30,8 @@
 	pause = 50 * time.Millisecond
 )
 
-// Caller is the callers. Set the fields before Run.
-type Caller struct {
+// Generator is the callers. Set the fields before Run.
+type Generator struct {
 	// Name precedes the ids of the requests. Callers of one experiment need
 	// different ones if their kinds have the same names.
 	Name    string
@@ -49,7 +49,7 @@
 
 // Run sends requests for a duration or until ctx ends, and waits for the last
 // one to end. A second run of the same callers would have the same ids.
-func (c *Caller) Run(ctx context.Context, duration time.Duration) error {
+func (c *Generator) Run(ctx context.Context, duration time.Duration) error {
 	if err := c.verify(); err != nil {
 		return err
 	}
@@ -80,14 +80,14 @@
 }
 
 // Records returns the requests that have ended.
-func (c *Caller) Records() []Record {
+func (c *Generator) Records() []Record {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.records[:len(c.records):len(c.records)]
 }
 
 // request makes the attempts of one request. The end of ctx does not end it.
-func (c *Caller) request(ctx context.Context, kind Kind, entries []Entry, next request, due time.Time) {
+func (c *Generator) request(ctx context.Context, kind Kind, entries []Entry, next request, due time.Time) {
 	record := Record{ID: next.id, Kind: kind.Name, Zone: entries[next.entry].Zone, Once: kind.Once, Objective: kind.Objective, Start: due}
 	ctx = context.WithoutCancel(ctx)
 	for n := range 1 + kind.Retries {
@@ -135,7 +135,7 @@
 
 // Summarize returns a summary for each kind, from the requests that were due
 // from one time up to another.
-func (c *Caller) Summarize(from, to time.Time) []Summary {
+func (c *Generator) Summarize(from, to time.Time) []Summary {
 	summaries := make([]Summary, len(c.Kinds))
 	index := map[string]int{}
 	for i, kind := range c.Kinds {
--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -21,7 +21,7 @@
 // are not what the description says.
 func TestSchedule(t *testing.T) {
 	is := is.New(t)
-	c := &Caller{
+	c := &Generator{
 		Entries: []Entry{{Name: "a", Zone: "x"}, {Name: "b", Zone: "y"}}, Seed: 7,
 		Kinds:  []Kind{{Name: "k", Rate: 200, Hasty: 0.5, Leaving: 0.5}},
 		Bursts: []Burst{{Kind: "k", At: 10 * time.Second, For: 5 * time.Second, Factor: 4}, {At: 15 * time.Second, For: time.Second}},
@@ -96,7 +96,7 @@
 			}))
 			defer node.Close()
 			test.kind.Name, test.kind.Rate = "k", 100
-			c := &Caller{Kinds: []Kind{test.kind}, Entries: []Entry{{Name: "n", Address: netip.MustParseAddrPort(node.Listener.Addr().String())}}}
+			c := &Generator{Kinds: []Kind{test.kind}, Entries: []Entry{{Name: "n", Address: netip.MustParseAddrPort(node.Listener.Addr().String())}}}
 			is.NoErr(c.Run(t.Context(), 100*time.Millisecond))
 			is.True(len(c.Records()) > 0)
 			for _, record := range c.Records() {
--- a/bench/caller/kind.go
+++ b/bench/caller/kind.go
@@ -88,7 +88,7 @@
 }
 
 // verify reports the first fault of the callers' description.
-func (c *Caller) verify() error {
+func (c *Generator) verify() error {
 	if strings.ContainsAny(c.Name, " \n") {
 		return errors.Errorf("name %q of the callers has spaces", c.Name)
 	}
--- a/bench/caller/schedule.go
+++ b/bench/caller/schedule.go
@@ -24,7 +24,7 @@
 }
 
 // entries returns the nodes that a kind uses.
-func (c *Caller) entries(kind Kind) []Entry {
+func (c *Generator) entries(kind Kind) []Entry {
 	if len(kind.Zones) == 0 {
 		return c.Entries
 	}
@@ -32,7 +32,7 @@
 }
 
 // rate returns the rate of a kind at a time.
-func (c *Caller) rate(kind Kind, at time.Duration) float64 {
+func (c *Generator) rate(kind Kind, at time.Duration) float64 {
 	rate := kind.Rate
 	for _, burst := range c.Bursts {
 		if (burst.Kind == "" || burst.Kind == kind.Name) && at >= burst.At && at < burst.At+burst.For {
@@ -43,7 +43,7 @@
 }
 
 // change returns the next time after at at which a burst begins or ends.
-func (c *Caller) change(at, end time.Duration) time.Duration {
+func (c *Generator) change(at, end time.Duration) time.Duration {
 	next := end
 	for _, burst := range c.Bursts {
 		for _, edge := range []time.Duration{burst.At, burst.At + burst.For} {
@@ -58,7 +58,7 @@
 // schedule returns the requests of the kind with a number. The times between
 // them are exponentially distributed, as those of independent callers. The
 // seed, the kinds and the bursts fix all of it.
-func (c *Caller) schedule(number int, duration time.Duration) iter.Seq[request] {
+func (c *Generator) schedule(number int, duration time.Duration) iter.Seq[request] {
 	kind := c.Kinds[number]
 	entries := len(c.entries(kind))
 	return func(yield func(request) bool) {
--- a/bench/caller/send.go
+++ b/bench/caller/send.go
@@ -22,7 +22,7 @@
 
 // try makes one attempt and returns the time after which the next one may
 // follow.
-func (c *Caller) try(ctx context.Context, kind Kind, entry Entry, record *Record, n int, leave time.Duration) (attempt Attempt, after time.Duration) {
+func (c *Generator) try(ctx context.Context, kind Kind, entry Entry, record *Record, n int, leave time.Duration) (attempt Attempt, after time.Duration) {
 	attempt = Attempt{
 		ID: fmt.Sprintf("%s.%d", record.ID, n), Node: entry.Name, Start: time.Now(),
 		Limit: kind.limit(), Result: sycamorerun.Unknown,
--- a/bench/caller/stall.go
+++ b/bench/caller/stall.go
@@ -19,14 +19,14 @@
 }
 
 // Stalls returns the stalls of the run.
-func (c *Caller) Stalls() []Stall {
+func (c *Generator) Stalls() []Stall {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.stalls[:len(c.stalls):len(c.stalls)]
 }
 
 // watch records stalls until ctx ends.
-func (c *Caller) watch(ctx context.Context) {
+func (c *Generator) watch(ctx context.Context) {
 	for last := time.Now(); ctx.Err() == nil; {
 		time.Sleep(stallTick)
 		now := time.Now()
--- a/bench/player/fleet.go
+++ b/bench/player/fleet.go
@@ -79,8 +79,8 @@
 
 // callers returns the callers of the experiment and those that read the
 // version in force.
-func (r *run) callers() *caller.Caller {
-	c := &caller.Caller{Seed: r.x.Seed}
+func (r *run) callers() *caller.Generator {
+	c := &caller.Generator{Seed: r.x.Seed}
 	for _, node := range r.fleet.Nodes {
 		c.Entries = append(c.Entries, caller.Entry{Name: node.Name, Zone: node.Zone.Name, Address: node.Callers})
 	}
--- a/bench/player/player.go
+++ b/bench/player/player.go
@@ -72,7 +72,7 @@
 type run struct {
 	x     experimenter.Experiment
 	fleet *deployer.Fleet
-	load  *caller.Caller
+	load  *caller.Generator
 	start time.Time
 
 	mutex    sync.Mutex
--- a/bench/system/judged_test.go
+++ b/bench/system/judged_test.go
@@ -77,7 +77,7 @@
 
 	faulty, drained, stopped, killed := fleet.Nodes[1], fleet.Nodes[2], fleet.Nodes[3], fleet.Nodes[4]
 	is.NoErr(deployer.Put(ctx, faulty.Control, "/behavior", map[string]any{"truncate": 0.1, "surplus": 0.1, "extra": 0.1, "lose": 0.1, "fail": 0.05}))
-	callers := &caller.Caller{Kinds: judgedKinds(stopped.Zone.Name), Seed: judgedSeed}
+	callers := &caller.Generator{Kinds: judgedKinds(stopped.Zone.Name), Seed: judgedSeed}
 	for _, node := range fleet.Nodes {
 		callers.Entries = append(callers.Entries, caller.Entry{Name: node.Name, Zone: node.Zone.Name, Address: node.Callers})
 	}
