--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -23,7 +23,7 @@
 	is := is.New(t)
 	c := &Generator{
 		Entries: []Entry{{Name: "a", Zone: "x"}, {Name: "b", Zone: "y"}}, Seed: 7,
-		Kinds:  []Kind{{Name: "k", Rate: 200, Hasty: 0.5, Leaving: 0.5}},
+		Kinds:  []Kind{{Name: "k", Rate: 200, ImmediateRetryShare: 0.5, Leaving: 0.5}},
 		Bursts: []Burst{{Kind: "k", At: 10 * time.Second, For: 5 * time.Second, Factor: 4}, {At: 15 * time.Second, For: time.Second}},
 	}
 	is.NoErr(c.verify())
@@ -67,7 +67,7 @@
 		"answered":  {Kind{Body: 3000, Response: 5000}, nil, 1, sycamorerun.Answered, true, 0},
 		"chunked":   {Kind{Body: 3000, Chunked: true}, nil, 1, sycamorerun.Answered, true, 0},
 		"refused":   {Kind{Retries: 2, Once: true}, func(w http.ResponseWriter, _ *http.Request) { refuse(w) }, 2, sycamorerun.NotRun, true, 200 * time.Millisecond},
-		"hasty":     {Kind{Retries: 2, Hasty: 1}, func(w http.ResponseWriter, _ *http.Request) { refuse(w) }, 2, sycamorerun.NotRun, true, 0},
+		"hasty":     {Kind{Retries: 2, ImmediateRetryShare: 1}, func(w http.ResponseWriter, _ *http.Request) { refuse(w) }, 2, sycamorerun.NotRun, true, 0},
 		"broken":    {Kind{Retries: 2}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 2, sycamorerun.Unknown, true, 0},
 		"run once":  {Kind{Retries: 2, Once: true}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 1, sycamorerun.Unknown, false, 0},
 		"truncated": {Kind{Response: 9}, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("short")) }, 1, sycamorerun.Answered, false, 0},
--- a/bench/caller/schedule.go
+++ b/bench/caller/schedule.go
@@ -80,7 +80,7 @@
 			if kind.Marker {
 				next.entry = count % entries // Each node is asked equally often.
 			}
-			next.hasty = random.Float64() < kind.Hasty
+			next.hasty = random.Float64() < kind.ImmediateRetryShare
 			if random.Float64() < kind.Leaving {
 				limit := kind.limit()
 				if limit == 0 {
