--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -23,7 +23,7 @@
 	is := is.New(t)
 	c := &Generator{
 		Entries: []Entry{{Name: "a", Zone: "x"}, {Name: "b", Zone: "y"}}, Seed: 7,
-		Kinds:  []Kind{{Name: "k", Rate: 200, ImmediateRetryShare: 0.5, Leaving: 0.5}},
+		Kinds:  []Kind{{Name: "k", Rate: 200, ImmediateRetryShare: 0.5, DisconnectShare: 0.5}},
 		Bursts: []Burst{{Kind: "k", At: 10 * time.Second, For: 5 * time.Second, Factor: 4}, {At: 15 * time.Second, For: time.Second}},
 	}
 	is.NoErr(c.verify())
@@ -75,7 +75,7 @@
 			_, _ = w.Write(server.Answer("x", server.Body("x", 0), 0))
 		}, 1, sycamorerun.Answered, false, 0},
 		"not found": {Kind{Retries: 2}, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, 1, sycamorerun.Answered, false, 0},
-		"leaves":    {Kind{Leaving: 1, Retries: 2, Work: time.Minute, Timeout: 100 * time.Millisecond}, nil, 1, sycamorerun.Unknown, false, 0},
+		"leaves":    {Kind{DisconnectShare: 1, Retries: 2, Work: time.Minute, Timeout: 100 * time.Millisecond}, nil, 1, sycamorerun.Unknown, false, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 			for _, record := range c.Records() {
 				is.Equal(len(record.Attempts), test.attempts)
 				is.Equal(record.Attempts[0].Result, test.result)
-				is.Equal(record.Attempts[0].Left, test.kind.Leaving > 0)
+				is.Equal(record.Attempts[0].Left, test.kind.DisconnectShare > 0)
 				is.Equal(record.Served(), test.served)
 				is.True(record.Latency() >= test.least)
 				is.True(!record.Attempts[0].Start.Before(record.Start))
--- a/bench/caller/kind.go
+++ b/bench/caller/kind.go
@@ -48,9 +48,9 @@
 	Key bool
 	// Roam sends each retry to the next node of the kind.
 	Roam bool
-	// ImmediateRetryShare is the share of requests whose retries ignore Retry-After, Leaving
+	// ImmediateRetryShare is the share of requests whose retries ignore Retry-After, DisconnectShare
 	// the share whose caller disconnects before its deadline.
-	ImmediateRetryShare, Leaving float64
+	ImmediateRetryShare, DisconnectShare float64
 	// Marker says that the route's timeout is the Marker of a version.
 	Marker bool
 }
@@ -102,7 +102,7 @@
 			return errors.Errorf("kind %q: the name must be unique and without spaces", kind.Name)
 		case kind.Rate <= 0 || kind.Retries < 0 || kind.Body < 0 || kind.Response < 0:
 			return errors.Errorf("kind %s: the rate must be positive, the other numbers not negative", kind.Name)
-		case kind.ImmediateRetryShare < 0 || kind.ImmediateRetryShare > 1 || kind.Leaving < 0 || kind.Leaving > 1:
+		case kind.ImmediateRetryShare < 0 || kind.ImmediateRetryShare > 1 || kind.DisconnectShare < 0 || kind.DisconnectShare > 1:
 			return errors.Errorf("kind %s: shares must be 0 to 1", kind.Name)
 		case len(c.entries(kind)) == 0:
 			return errors.Errorf("kind %s: no entry in its zones", kind.Name)
--- a/bench/caller/schedule.go
+++ b/bench/caller/schedule.go
@@ -81,7 +81,7 @@
 				next.entry = count % entries // Each node is asked equally often.
 			}
 			next.hasty = random.Float64() < kind.ImmediateRetryShare
-			if random.Float64() < kind.Leaving {
+			if random.Float64() < kind.DisconnectShare {
 				limit := kind.limit()
 				if limit == 0 {
 					limit = leaveDefault
