--- a/bench/caller/caller.go
+++ b/bench/caller/caller.go
@@ -92,7 +92,7 @@
 	ctx = context.WithoutCancel(ctx)
 	for n := range 1 + kind.Retries {
 		entry := entries[next.entry]
-		if kind.Roam {
+		if kind.RotateNodes {
 			entry = entries[(next.entry+n)%len(entries)]
 		}
 		attempt, after := c.try(ctx, kind, entry, &record, n, next.leave)
--- a/bench/caller/kind.go
+++ b/bench/caller/kind.go
@@ -46,8 +46,8 @@
 	// Key sends the request's id as idempotency key and as the id of all its
 	// attempts, so that a request with Once may be tried again in any case.
 	Key bool
-	// Roam sends each retry to the next node of the kind.
-	Roam bool
+	// RotateNodes sends each retry to the next node of the kind.
+	RotateNodes bool
 	// ImmediateRetryShare is the share of requests whose retries ignore Retry-After, DisconnectShare
 	// the share whose caller disconnects before its deadline.
 	ImmediateRetryShare, DisconnectShare float64
