--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -66,10 +66,10 @@
 	}{
 		"answered":  {Kind{Body: 3000, Response: 5000}, nil, 1, sycamorerun.Answered, true, 0},
 		"chunked":   {Kind{Body: 3000, Chunked: true}, nil, 1, sycamorerun.Answered, true, 0},
-		"refused":   {Kind{Retries: 2, Once: true}, func(w http.ResponseWriter, _ *http.Request) { refuse(w) }, 2, sycamorerun.NotRun, true, 200 * time.Millisecond},
+		"refused":   {Kind{Retries: 2, AtMostOnce: true}, func(w http.ResponseWriter, _ *http.Request) { refuse(w) }, 2, sycamorerun.NotRun, true, 200 * time.Millisecond},
 		"hasty":     {Kind{Retries: 2, ImmediateRetryShare: 1}, func(w http.ResponseWriter, _ *http.Request) { refuse(w) }, 2, sycamorerun.NotRun, true, 0},
 		"broken":    {Kind{Retries: 2}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 2, sycamorerun.Unknown, true, 0},
-		"run once":  {Kind{Retries: 2, Once: true}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 1, sycamorerun.Unknown, false, 0},
+		"run once":  {Kind{Retries: 2, AtMostOnce: true}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 1, sycamorerun.Unknown, false, 0},
 		"truncated": {Kind{Response: 9}, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("short")) }, 1, sycamorerun.Answered, false, 0},
 		"another's": {Kind{}, func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write(server.Answer("x", server.Body("x", 0), 0))
--- a/bench/caller/kind.go
+++ b/bench/caller/kind.go
@@ -41,8 +41,8 @@
 	Timeout time.Duration
 	// Retries is the number of attempts after the first one. Once says that the
 	// request must not run twice: it is tried again only after "not run".
-	Retries int
-	Once    bool
+	Retries    int
+	AtMostOnce bool
 	// Key sends the request's id as idempotency key and as the id of all its
 	// attempts, so that a request with Once may be tried again in any case.
 	Key bool
--- a/bench/player/fleet.go
+++ b/bench/player/fleet.go
@@ -88,7 +88,7 @@
 		c.Kinds = append(c.Kinds, caller.Kind{
 			Name: k.Name, Rate: k.Rate, Host: host(k.Name), Work: k.Work, Body: k.Body, Response: k.Response,
 			Objective: k.Objective, Deadline: k.Deadline, Timeout: k.Timeout, Retries: k.Retries,
-			Once: k.Once, Key: k.Key, ImmediateRetryShare: k.Hasty, DisconnectShare: k.Leaving,
+			AtMostOnce: k.Once, Key: k.Key, ImmediateRetryShare: k.Hasty, DisconnectShare: k.Leaving,
 		})
 	}
 	c.Kinds = append(c.Kinds, caller.Kind{
--- a/bench/system/judged_test.go
+++ b/bench/system/judged_test.go
@@ -29,9 +29,9 @@
 	ms := time.Millisecond
 	return []caller.Kind{
 		{Name: "read", Rate: 30, Method: "GET", Host: "read.example", Work: 5 * ms, Response: 2000, Objective: 100 * ms, Deadline: time.Second, Timeout: 5 * time.Second, Retries: 2, DisconnectShare: 0.05},
-		{Name: "book", Rate: 20, Host: "book.example", Work: 30 * ms, Timeout: 2 * time.Second, Retries: 3, Once: true, ImmediateRetryShare: 0.3},
-		{Name: "order", Rate: 10, Host: "book.example", Work: 30 * ms, Timeout: 2 * time.Second, Retries: 2, Once: true, Key: true, RotateNodes: true},
-		{Name: "upload", Rate: 5, Host: "book.example", Work: 20 * ms, Body: 200 << 10, Chunked: true, Timeout: 2 * time.Second, Retries: 1, Once: true},
+		{Name: "book", Rate: 20, Host: "book.example", Work: 30 * ms, Timeout: 2 * time.Second, Retries: 3, AtMostOnce: true, ImmediateRetryShare: 0.3},
+		{Name: "order", Rate: 10, Host: "book.example", Work: 30 * ms, Timeout: 2 * time.Second, Retries: 2, AtMostOnce: true, Key: true, RotateNodes: true},
+		{Name: "upload", Rate: 5, Host: "book.example", Work: 20 * ms, Body: 200 << 10, Chunked: true, Timeout: 2 * time.Second, Retries: 1, AtMostOnce: true},
 		{Name: "history", Rate: 5, Host: "read.example", Work: time.Second, Response: 300 << 10, Timeout: 5 * time.Second, Retries: 1},
 		{Name: "pull", Rate: 4, Zones: []string{zone}, Host: "read.example", Work: time.Second, Response: 300 << 10, Timeout: 5 * time.Second},
 		{Name: "late", Rate: 3, Host: "late.example", Work: 3 * time.Second, Timeout: judgedTimeout},
