--- a/bench/caller/caller.go
+++ b/bench/caller/caller.go
@@ -88,7 +88,7 @@
 
 // request makes the attempts of one request. The end of ctx does not end it.
 func (c *Generator) request(ctx context.Context, kind Kind, entries []Entry, next request, due time.Time) {
-	record := Record{ID: next.id, Kind: kind.Name, Zone: entries[next.entry].Zone, Once: kind.AtMostOnce, Objective: kind.Objective, Start: due}
+	record := Record{ID: next.id, Kind: kind.Name, Zone: entries[next.entry].Zone, AtMostOnce: kind.AtMostOnce, Objective: kind.Objective, Start: due}
 	ctx = context.WithoutCancel(ctx)
 	for n := range 1 + kind.Retries {
 		entry := entries[next.entry]
--- a/bench/caller/record.go
+++ b/bench/caller/record.go
@@ -10,8 +10,8 @@
 // Record is one request of a caller with its attempts.
 type Record struct {
 	ID, Kind, Zone string
-	// Once says that the request must not run twice.
-	Once bool
+	// AtMostOnce says that the request must not run twice.
+	AtMostOnce bool
 	// Objective is the response time that the kind aims at.
 	Objective time.Duration
 	// Start is when the request was due, whenever it was sent.
--- a/bench/judge/attempt.go
+++ b/bench/judge/attempt.go
@@ -24,7 +24,7 @@
 			j.add(Finding{NotRun, attempt.ID, executed[0].instance, executed[0].start, executed[0].end, fmt.Sprintf("told not-run (%d %s) and ran", attempt.Status, attempt.Reason)})
 		}
 	}
-	if record.Once && len(runs) > 1 {
+	if record.AtMostOnce && len(runs) > 1 {
 		runs = sorted(runs, func(r *run) time.Time { return r.start })
 		j.add(Finding{Once, record.ID, runs[1].instance, runs[0].start, runs[1].start, fmt.Sprintf("ran %d times, first at %s", len(runs), runs[0].instance)})
 	}
--- a/bench/judge/judge_test.go
+++ b/bench/judge/judge_test.go
@@ -119,9 +119,9 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			record := caller.Record{ID: "r", Once: true, Attempts: test.attempts}
+			record := caller.Record{ID: "r", AtMostOnce: true, Attempts: test.attempts}
 			if test.attempts[0].Version > 0 {
-				record.Once = false
+				record.AtMostOnce = false
 			}
 			findings := Judge([]caller.Record{record}, [][]recorder.Event{events(t, test.journal)}, test.operator, DefaultBounds)
 			if test.want == "" {
