--- a/bench/caller/caller.go
+++ b/bench/caller/caller.go
@@ -113,7 +113,7 @@
 // again reports whether a caller may try once more after an attempt.
 func again(kind Kind, attempt Attempt) bool {
 	switch {
-	case attempt.Left || attempt.Answered():
+	case attempt.Disconnected || attempt.Answered():
 		return false
 	case attempt.Status >= http.StatusBadRequest && attempt.Status < http.StatusInternalServerError:
 		return notRunStatuses[attempt.Status] // Others are not to be repeated unchanged.
--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -102,7 +102,7 @@
 			for _, record := range c.Records() {
 				is.Equal(len(record.Attempts), test.attempts)
 				is.Equal(record.Attempts[0].Result, test.result)
-				is.Equal(record.Attempts[0].Left, test.kind.DisconnectShare > 0)
+				is.Equal(record.Attempts[0].Disconnected, test.kind.DisconnectShare > 0)
 				is.Equal(record.Served(), test.served)
 				is.True(record.Latency() >= test.least)
 				is.True(!record.Attempts[0].Start.Before(record.Start))
--- a/bench/caller/record.go
+++ b/bench/caller/record.go
@@ -33,8 +33,8 @@
 	Reason string
 	// Whole says that the response was complete and the caller's own.
 	Whole bool
-	// Left says that the caller disconnected before it was told anything.
-	Left bool
+	// Disconnected says that the caller disconnected before it was told anything.
+	Disconnected bool
 	// Version is the marker of the configuration in force where the request
 	// entered, zero if the kind does not show it.
 	Version int
--- a/bench/caller/send.go
+++ b/bench/caller/send.go
@@ -44,7 +44,7 @@
 	body := server.Body(attempt.ID, kind.Body)
 	response, err := c.client.Do(build(ctx, kind, entry, record.ID, attempt.ID, body))
 	if err != nil {
-		attempt.Reason, attempt.Left = err.Error(), leaves && ctx.Err() != nil
+		attempt.Reason, attempt.Disconnected = err.Error(), leaves && ctx.Err() != nil
 		return attempt, pause
 	}
 	defer response.Body.Close()
@@ -54,7 +54,7 @@
 	attempt.Status = response.StatusCode
 	if err != nil {
 		// A response that visibly breaks off is no response.
-		attempt.Reason, attempt.Left = err.Error(), leaves && ctx.Err() != nil
+		attempt.Reason, attempt.Disconnected = err.Error(), leaves && ctx.Err() != nil
 		return attempt, pause
 	}
 	attempt.Result = resultOf(response)
--- a/bench/judge/attempt.go
+++ b/bench/judge/attempt.go
@@ -60,7 +60,7 @@
 			j.add(finding)
 		}
 	}
-	if attempt.Limit > 0 && !attempt.Left && took-j.stalled(attempt.Start, attempt.End) > attempt.Limit+j.bounds.Answer && !j.excused(attempt.Start, attempt.End, attempt.Node) {
+	if attempt.Limit > 0 && !attempt.Disconnected && took-j.stalled(attempt.Start, attempt.End) > attempt.Limit+j.bounds.Answer && !j.excused(attempt.Start, attempt.End, attempt.Node) {
 		finding.Promise, finding.Detail = Answer, fmt.Sprintf("told after %s, limit %s", took, attempt.Limit)
 		j.add(finding)
 	}
@@ -70,7 +70,7 @@
 // flight when it began, and those that ran during it and were not answered.
 func (j *judgement) judgeStop(attempt caller.Attempt) {
 	expired := attempt.Limit > 0 && attempt.End.Sub(attempt.Start) >= attempt.Limit
-	if attempt.Result != sycamorerun.Unknown || attempt.Left || expired {
+	if attempt.Result != sycamorerun.Unknown || attempt.Disconnected || expired {
 		return
 	}
 	for _, stop := range j.operator.Stops {
@@ -99,7 +99,7 @@
 	if attempt.Limit > 0 {
 		over = attempt.Start.Add(attempt.Limit)
 	}
-	if attempt.Left {
+	if attempt.Disconnected {
 		over = attempt.End
 	}
 	if over.IsZero() {
--- a/bench/judge/judge_test.go
+++ b/bench/judge/judge_test.go
@@ -38,7 +38,7 @@
 	return func(a *caller.Attempt) { a.Version, a.ID, a.Limit = version, "v", 0 }
 }
 
-func left(a *caller.Attempt)      { a.Left = true }
+func left(a *caller.Attempt)      { a.Disconnected = true }
 func unlimited(a *caller.Attempt) { a.Limit = 0 }
 func broken(a *caller.Attempt)    { a.Whole = false }
 func second(a *caller.Attempt)    { a.ID = "r.1" }
