--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -63,8 +63,8 @@
 	Upstream bool
 }
 
-// Operator is what the operator did.
-type Operator struct {
+// OperatorActions is what the operator did.
+type OperatorActions struct {
 	Versions []Version
 	// Stops are planned stops of a node or its upstream, from the signal to the
 	// end of the process.
@@ -94,7 +94,7 @@
 // judgement is one judgement in progress.
 type judgement struct {
 	records  []caller.Record
-	operator Operator
+	operator OperatorActions
 	bounds   Bounds
 	evidence evidence
 	findings []Finding
@@ -102,7 +102,7 @@
 
 // Judge returns all broken promises in the order of their start. Each journal
 // is that of the upstreams that ran beside one node.
-func Judge(records []caller.Record, journals [][]recorder.Event, operator Operator, bounds Bounds) []Finding {
+func Judge(records []caller.Record, journals [][]recorder.Event, operator OperatorActions, bounds Bounds) []Finding {
 	j := &judgement{records: records, operator: operator, bounds: bounds, evidence: collect(journals)}
 	for _, record := range records {
 		j.judgeRecord(record)
--- a/bench/player/player.go
+++ b/bench/player/player.go
@@ -76,7 +76,7 @@
 	start time.Time
 
 	mutex    sync.Mutex
-	operator judge.Operator
+	operator judge.OperatorActions
 	marks    []Mark
 	changes  []Change
 	// accepted are the times of acceptance of the changes.
--- a/bench/system/judged_test.go
+++ b/bench/system/judged_test.go
@@ -66,7 +66,7 @@
 	})
 	waitKnown(t, fleet, "admin")
 	is.NoErr(fleet.Teams(ctx, map[string]string{"quoting": "flow"}))
-	var operator judge.Operator
+	var operator judge.OperatorActions
 	change := func(nodes ...*deployer.Node) {
 		number := len(operator.Versions) + 1
 		apply(t, fleet, "quoting", judgedSettings(number), nodes...)
