--- a/bench/mixer/judge_test.go
+++ b/bench/mixer/judge_test.go
@@ -11,28 +11,28 @@
 
 // Guards against a judge that lets a broken promise pass.
 func TestJudge(t *testing.T) {
-	answered := Told{Result: sycamorerun.Answered, Status: http.StatusOK, Whole: true}
-	notRun := Told{Result: sycamorerun.NotRun, Status: http.StatusServiceUnavailable}
-	unknown := Told{Result: sycamorerun.Unknown}
+	answered := Attempt{Result: sycamorerun.Answered, Status: http.StatusOK, Whole: true}
+	notRun := Attempt{Result: sycamorerun.NotRun, Status: http.StatusServiceUnavailable}
+	unknown := Attempt{Result: sycamorerun.Unknown}
 	cases := map[string]struct {
 		kind     Kind
-		told     []Told
+		told     []Attempt
 		executed int
 		faults   int
 	}{
-		"answered and ran":                {Order, []Told{answered}, 1, 0},
-		"unknown and ran":                 {Order, []Told{unknown}, 1, 0},
-		"unknown and did not run":         {Order, []Told{unknown, notRun}, 0, 0},
-		"ran twice":                       {Order, []Told{unknown, answered}, 2, 1},
-		"not run and ran":                 {Order, []Told{notRun, notRun}, 1, 1},
-		"answered and did not run":        {Order, []Told{answered}, 0, 1},
-		"read ran twice":                  {Status, []Told{answered}, 2, 0},
-		"read was not run and ran":        {Count, []Told{notRun}, 1, 1},
-		"upload repeated":                 {Upload, []Told{unknown, answered}, 2, 0},
-		"upload ran for a not-run":        {Upload, []Told{notRun, answered}, 2, 1},
-		"upload answered and not stored":  {Upload, []Told{answered}, 0, 1},
-		"history cut off":                 {History, []Told{{Result: sycamorerun.Answered, Status: http.StatusOK}}, 0, 1},
-		"history broke off and was known": {History, []Told{unknown}, 0, 0},
+		"answered and ran":                {Order, []Attempt{answered}, 1, 0},
+		"unknown and ran":                 {Order, []Attempt{unknown}, 1, 0},
+		"unknown and did not run":         {Order, []Attempt{unknown, notRun}, 0, 0},
+		"ran twice":                       {Order, []Attempt{unknown, answered}, 2, 1},
+		"not run and ran":                 {Order, []Attempt{notRun, notRun}, 1, 1},
+		"answered and did not run":        {Order, []Attempt{answered}, 0, 1},
+		"read ran twice":                  {Status, []Attempt{answered}, 2, 0},
+		"read was not run and ran":        {Count, []Attempt{notRun}, 1, 1},
+		"upload repeated":                 {Upload, []Attempt{unknown, answered}, 2, 0},
+		"upload ran for a not-run":        {Upload, []Attempt{notRun, answered}, 2, 1},
+		"upload answered and not stored":  {Upload, []Attempt{answered}, 0, 1},
+		"history cut off":                 {History, []Attempt{{Result: sycamorerun.Answered, Status: http.StatusOK}}, 0, 1},
+		"history broke off and was known": {History, []Attempt{unknown}, 0, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/bench/mixer/mixer.go
+++ b/bench/mixer/mixer.go
@@ -25,8 +25,8 @@
 	backoff = 50 * time.Millisecond
 )
 
-// Told is what a caller was told about one attempt.
-type Told struct {
+// Attempt is what a caller was told about one attempt.
+type Attempt struct {
 	Node   string
 	Began  time.Time
 	Took   time.Duration
@@ -40,7 +40,7 @@
 
 // Answered reports whether the attempt brought an answer of the upstream other
 // than an error status.
-func (t Told) Answered() bool {
+func (t Attempt) Answered() bool {
 	return t.Result == sycamorerun.Answered && t.Status == http.StatusOK
 }
 
@@ -50,7 +50,7 @@
 	ID   string
 	// Sum is the hash of the request body.
 	Sum  string
-	Told []Told
+	Told []Attempt
 }
 
 // Answered reports whether an attempt was answered.
@@ -143,9 +143,9 @@
 }
 
 // Ask makes one attempt of a call at a node. The end of ctx does not end it.
-func (m *Mixer) Ask(ctx context.Context, node string, item *Item, body []byte) (told Told) {
+func (m *Mixer) Ask(ctx context.Context, node string, item *Item, body []byte) (told Attempt) {
 	load := workloads[item.Kind]
-	told = Told{Node: node, Began: time.Now(), Result: sycamorerun.Unknown}
+	told = Attempt{Node: node, Began: time.Now(), Result: sycamorerun.Unknown}
 	defer func() { told.Took = time.Since(told.Began) }()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), load.timeout)
 	defer cancel()
