--- a/bench/mixer/judge.go
+++ b/bench/mixer/judge.go
@@ -15,9 +15,9 @@
 
 // Judge compares what callers were told with the records and returns every
 // contradiction.
-func Judge(items []*Item, records Records) []string {
+func Judge(items []*Call, records Records) []string {
 	var faults []string
-	report := func(item *Item, fault string, executed int) {
+	report := func(item *Call, fault string, executed int) {
 		faults = append(faults, fmt.Sprintf("%s %s: executed %d times, told %+v", item.ID, fault, executed, item.Told))
 	}
 	sums := map[string]bool{}
@@ -51,7 +51,7 @@
 }
 
 // executed returns how often the item ran, and whether that is on record.
-func (i *Item) executed(records Records) (int, bool) {
+func (i *Call) executed(records Records) (int, bool) {
 	switch i.Kind {
 	case Status, Count, Order:
 		return records.Runs[i.ID], true
@@ -65,7 +65,7 @@
 // most returns how often the item may run. A call with a key runs once, an
 // upload once for each attempt that is not known to have not run; reads may be
 // repeated.
-func (i *Item) most() (int, bool) {
+func (i *Call) most() (int, bool) {
 	switch i.Kind {
 	case Order:
 		return 1, true
--- a/bench/mixer/judge_test.go
+++ b/bench/mixer/judge_test.go
@@ -37,12 +37,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			item := &Item{Kind: c.kind, ID: "id", Sum: "sum", Told: c.told}
+			item := &Call{Kind: c.kind, ID: "id", Sum: "sum", Told: c.told}
 			records := Records{Runs: map[string]int{"id": c.executed}}
 			if c.kind == Upload && c.executed > 0 {
 				records.Uploads = map[string]int{"sum": c.executed}
 			}
-			is.Equal(len(Judge([]*Item{item}, records)), c.faults)
+			is.Equal(len(Judge([]*Call{item}, records)), c.faults)
 		})
 	}
 	is.New(t).Equal(len(Judge(nil, Records{Uploads: map[string]int{"part": 1}})), 1)
--- a/bench/mixer/mixer.go
+++ b/bench/mixer/mixer.go
@@ -44,8 +44,8 @@
 	return t.Result == sycamorerun.Answered && t.Status == http.StatusOK
 }
 
-// Item is one call with its attempts.
-type Item struct {
+// Call is one call with its attempts.
+type Call struct {
 	Kind Kind
 	ID   string
 	// Sum is the hash of the request body.
@@ -54,7 +54,7 @@
 }
 
 // Answered reports whether an attempt was answered.
-func (i *Item) Answered() bool {
+func (i *Call) Answered() bool {
 	for _, told := range i.Told {
 		if told.Answered() {
 			return true
@@ -64,7 +64,7 @@
 }
 
 // NotRun reports whether every attempt was told that it did not run.
-func (i *Item) NotRun() bool {
+func (i *Call) NotRun() bool {
 	for _, told := range i.Told {
 		if told.Result != sycamorerun.NotRun {
 			return false
@@ -85,7 +85,7 @@
 	client http.Client
 	names  []string
 	mutex  sync.Mutex
-	items  []*Item
+	items  []*Call
 }
 
 // New returns a Mixer that has made no calls. The names of the entries are
@@ -110,7 +110,7 @@
 }
 
 // Items returns what callers have been told. It is called after Run.
-func (m *Mixer) Items() []*Item {
+func (m *Mixer) Items() []*Call {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.items
@@ -121,7 +121,7 @@
 	random := rand.New(rand.NewPCG(m.Seed, uint64(number)))
 	load := workloads[kind]
 	for round := 0; ctx.Err() == nil; round++ {
-		item := &Item{Kind: kind, ID: fmt.Sprintf("%s-%d-%d", kind, number, round)}
+		item := &Call{Kind: kind, ID: fmt.Sprintf("%s-%d-%d", kind, number, round)}
 		body := load.body(random)
 		if body != nil {
 			item.Sum = sumOf(body)
@@ -143,7 +143,7 @@
 }
 
 // Ask makes one attempt of a call at a node. The end of ctx does not end it.
-func (m *Mixer) Ask(ctx context.Context, node string, item *Item, body []byte) (told Attempt) {
+func (m *Mixer) Ask(ctx context.Context, node string, item *Call, body []byte) (told Attempt) {
 	load := workloads[item.Kind]
 	told = Attempt{Node: node, Began: time.Now(), Result: sycamorerun.Unknown}
 	defer func() { told.Took = time.Since(told.Began) }()
--- a/bench/mixer/workload.go
+++ b/bench/mixer/workload.go
@@ -121,7 +121,7 @@
 }
 
 // whole reports whether an answer is the complete one to the call.
-func (w workload) whole(item *Item, answer []byte) bool {
+func (w workload) whole(item *Call, answer []byte) bool {
 	switch {
 	case w.sum != "":
 		return sumOf(answer) == w.sum
--- a/bench/system/mixes_test.go
+++ b/bench/system/mixes_test.go
@@ -188,7 +188,7 @@
 	var group sync.WaitGroup
 	for i := range 4 {
 		group.Go(func() {
-			told := callers.Ask(ctx, v.stopped.Name, &mixer.Item{Kind: mixer.History, ID: fmt.Sprintf("in-flight-%d", i)}, nil)
+			told := callers.Ask(ctx, v.stopped.Name, &mixer.Call{Kind: mixer.History, ID: fmt.Sprintf("in-flight-%d", i)}, nil)
 			if !told.Answered() || !told.Whole {
 				t.Errorf("a call in flight at the stopped node: %+v", told)
 			}
@@ -255,7 +255,7 @@
 
 // judgePlanned reports calls that a planned stop interrupted. A call with a key
 // can be unknown because its instance left.
-func judgePlanned(t *testing.T, items []*mixer.Item, from, to time.Time) {
+func judgePlanned(t *testing.T, items []*mixer.Call, from, to time.Time) {
 	t.Helper()
 	for _, item := range items {
 		for _, told := range item.Told {
@@ -268,14 +268,14 @@
 }
 
 // within returns the items of some kinds whose attempts all lie in a phase.
-func within(items []*mixer.Item, from, to time.Time, kinds ...mixer.Kind) []*mixer.Item {
-	return slices.DeleteFunc(slices.Clone(items), func(item *mixer.Item) bool {
+func within(items []*mixer.Call, from, to time.Time, kinds ...mixer.Kind) []*mixer.Call {
+	return slices.DeleteFunc(slices.Clone(items), func(item *mixer.Call) bool {
 		last := item.Told[len(item.Told)-1]
 		return !slices.Contains(kinds, item.Kind) || item.Told[0].Began.Before(from) || last.Began.Add(last.Took).After(to)
 	})
 }
 
-func answeredShare(items []*mixer.Item) float64 {
+func answeredShare(items []*mixer.Call) float64 {
 	answered := 0
 	for _, item := range items {
 		if item.Answered() {
@@ -286,7 +286,7 @@
 }
 
 // report logs how the calls of each kind ended in a phase.
-func report(t *testing.T, phase string, items []*mixer.Item, from, to time.Time) {
+func report(t *testing.T, phase string, items []*mixer.Call, from, to time.Time) {
 	t.Helper()
 	for _, kind := range []mixer.Kind{mixer.Status, mixer.Count, mixer.Order, mixer.Upload, mixer.History, mixer.Sync} {
 		reasons := map[string]int{}
