--- a/bench/mixer/judge.go
+++ b/bench/mixer/judge.go
@@ -18,13 +18,13 @@
 func Judge(items []*Call, records Records) []string {
 	var faults []string
 	report := func(item *Call, fault string, executed int) {
-		faults = append(faults, fmt.Sprintf("%s %s: executed %d times, told %+v", item.ID, fault, executed, item.Told))
+		faults = append(faults, fmt.Sprintf("%s %s: executed %d times, told %+v", item.ID, fault, executed, item.Attempts))
 	}
 	sums := map[string]bool{}
 	for _, item := range items {
 		executed, counted := item.executed(records)
 		sums[item.Sum] = true
-		for _, told := range item.Told {
+		for _, told := range item.Attempts {
 			if told.Answered() && !told.Whole {
 				report(item, "got an answer that is not whole or not its own", executed)
 			}
@@ -71,7 +71,7 @@
 		return 1, true
 	case Upload:
 		most := 0
-		for _, told := range i.Told {
+		for _, told := range i.Attempts {
 			if told.Result != sycamorerun.NotRun {
 				most++
 			}
--- a/bench/mixer/judge_test.go
+++ b/bench/mixer/judge_test.go
@@ -37,7 +37,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			item := &Call{Kind: c.kind, ID: "id", Sum: "sum", Told: c.told}
+			item := &Call{Kind: c.kind, ID: "id", Sum: "sum", Attempts: c.told}
 			records := Records{Runs: map[string]int{"id": c.executed}}
 			if c.kind == Upload && c.executed > 0 {
 				records.Uploads = map[string]int{"sum": c.executed}
--- a/bench/mixer/mixer.go
+++ b/bench/mixer/mixer.go
@@ -49,13 +49,13 @@
 	Kind Kind
 	ID   string
 	// Sum is the hash of the request body.
-	Sum  string
-	Told []Attempt
+	Sum      string
+	Attempts []Attempt
 }
 
 // Answered reports whether an attempt was answered.
 func (i *Call) Answered() bool {
-	for _, told := range i.Told {
+	for _, told := range i.Attempts {
 		if told.Answered() {
 			return true
 		}
@@ -65,7 +65,7 @@
 
 // NotRun reports whether every attempt was told that it did not run.
 func (i *Call) NotRun() bool {
-	for _, told := range i.Told {
+	for _, told := range i.Attempts {
 		if told.Result != sycamorerun.NotRun {
 			return false
 		}
@@ -129,7 +129,7 @@
 		first := random.IntN(len(m.names))
 		for n := range load.attempts(number) {
 			told := m.Ask(ctx, m.names[(first+n)%len(m.names)], item, body)
-			item.Told = append(item.Told, told)
+			item.Attempts = append(item.Attempts, told)
 			if told.Answered() {
 				break
 			}
--- a/bench/system/mixes_test.go
+++ b/bench/system/mixes_test.go
@@ -258,7 +258,7 @@
 func judgePlanned(t *testing.T, items []*mixer.Call, from, to time.Time) {
 	t.Helper()
 	for _, item := range items {
-		for _, told := range item.Told {
+		for _, told := range item.Attempts {
 			moved := item.Kind == mixer.Order && strings.HasPrefix(told.Reason, "key-")
 			if told.Result == sycamorerun.Unknown && !moved && told.Began.After(from) && told.Began.Add(told.Took).Before(to) {
 				t.Errorf("%s was interrupted during planned stops: %+v", item.ID, told)
@@ -270,8 +270,8 @@
 // within returns the items of some kinds whose attempts all lie in a phase.
 func within(items []*mixer.Call, from, to time.Time, kinds ...mixer.Kind) []*mixer.Call {
 	return slices.DeleteFunc(slices.Clone(items), func(item *mixer.Call) bool {
-		last := item.Told[len(item.Told)-1]
-		return !slices.Contains(kinds, item.Kind) || item.Told[0].Began.Before(from) || last.Began.Add(last.Took).After(to)
+		last := item.Attempts[len(item.Attempts)-1]
+		return !slices.Contains(kinds, item.Kind) || item.Attempts[0].Began.Before(from) || last.Began.Add(last.Took).After(to)
 	})
 }
 
@@ -293,7 +293,7 @@
 		var took []time.Duration
 		phased := within(items, from, to, kind)
 		for _, item := range phased {
-			for _, told := range item.Told {
+			for _, told := range item.Attempts {
 				if told.Answered() {
 					took = append(took, told.Took)
 					continue
