--- a/bench/mixer/mixer.go
+++ b/bench/mixer/mixer.go
@@ -128,7 +128,7 @@
 		}
 		first := random.IntN(len(m.names))
 		for n := range load.attempts(number) {
-			told := m.Ask(ctx, m.names[(first+n)%len(m.names)], item, body)
+			told := m.Send(ctx, m.names[(first+n)%len(m.names)], item, body)
 			item.Attempts = append(item.Attempts, told)
 			if told.Answered() {
 				break
@@ -142,8 +142,8 @@
 	}
 }
 
-// Ask makes one attempt of a call at a node. The end of ctx does not end it.
-func (m *Mixer) Ask(ctx context.Context, node string, item *Call, body []byte) (told Attempt) {
+// Send makes one attempt of a call at a node. The end of ctx does not end it.
+func (m *Mixer) Send(ctx context.Context, node string, item *Call, body []byte) (told Attempt) {
 	load := workloads[item.Kind]
 	told = Attempt{Node: node, Began: time.Now(), Result: sycamorerun.Unknown}
 	defer func() { told.Took = time.Since(told.Began) }()
--- a/bench/system/mixes_test.go
+++ b/bench/system/mixes_test.go
@@ -188,7 +188,7 @@
 	var group sync.WaitGroup
 	for i := range 4 {
 		group.Go(func() {
-			told := callers.Ask(ctx, v.stopped.Name, &mixer.Call{Kind: mixer.History, ID: fmt.Sprintf("in-flight-%d", i)}, nil)
+			told := callers.Send(ctx, v.stopped.Name, &mixer.Call{Kind: mixer.History, ID: fmt.Sprintf("in-flight-%d", i)}, nil)
 			if !told.Answered() || !told.Whole {
 				t.Errorf("a call in flight at the stopped node: %+v", told)
 			}
