--- a/bench/mixer/mixer.go
+++ b/bench/mixer/mixer.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// Items returns what callers have been told. It is called after Run.
-func (m *Mixer) Items() []*Call {
+// Calls returns what callers have been told. It is called after Run.
+func (m *Mixer) Calls() []*Call {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.items
--- a/bench/system/mixes_test.go
+++ b/bench/system/mixes_test.go
@@ -106,7 +106,7 @@
 				is.Equal(records.Requests, before[node])
 				is.True(records.LastAfterDrain <= few)
 			}
-			items := callers.Items()
+			items := callers.Calls()
 			for _, fault := range mixer.Judge(items, recorded(t, fleet)) {
 				t.Error(fault)
 			}
