--- a/bench/generator/generator.go
+++ b/bench/generator/generator.go
@@ -80,8 +80,8 @@
 	return results
 }
 
-// Sequence sends calls one after the other over one connection.
-func Sequence(ctx context.Context, target Target, calls int) *Result {
+// RunSequential sends calls one after the other over one connection.
+func RunSequential(ctx context.Context, target Target, calls int) *Result {
 	result := newResult(target)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
--- a/bench/stresser/cost.go
+++ b/bench/stresser/cost.go
@@ -105,7 +105,7 @@
 
 // answered makes calls, all of which must be answered.
 func answered(ctx context.Context, target generator.Target, calls int) error {
-	result := generator.Sequence(ctx, target, calls)
+	result := generator.RunSequential(ctx, target, calls)
 	if count := result.Results[sycamorerun.Answered]; count != calls {
 		return errors.Errorf("%s: answered %d of %d", target.Path, count, calls)
 	}
