--- a/bench/deployer/network.go
+++ b/bench/deployer/network.go
@@ -82,7 +82,7 @@
 			}
 		}
 		rule.Cut = f.cut[name] || f.apart[[2]string{name, f.Spec.Zones[0].Name}]
-		rule.Freeze, rule.Silence = f.frozen[name], f.silent[name]
+		rule.Freeze, rule.Blackhole = f.frozen[name], f.silent[name]
 		f.mutex.Unlock()
 		relay.Apply(func(netip.Addr) relayer.Rule { return rule })
 	}
@@ -98,7 +98,7 @@
 		if from.Name != to.Name {
 			rule.Cut = f.cut[from.Name] || f.cut[to.Name] || f.apart[[2]string{from.Name, to.Name}]
 			rule.Freeze = f.frozen[from.Name] || f.frozen[to.Name]
-			rule.Silence = f.silent[from.Name] || f.silent[to.Name]
+			rule.Blackhole = f.silent[from.Name] || f.silent[to.Name]
 		}
 		rules[from.Name] = rule
 	}
--- a/bench/relayer/relayer.go
+++ b/bench/relayer/relayer.go
@@ -28,9 +28,9 @@
 	// Retransmission, or 200 ms if that is zero, and so do those behind them.
 	Loss           float64
 	Retransmission time.Duration
-	// Silence makes the connections that are open when the rule is applied
+	// Blackhole makes the connections that are open when the rule is applied
 	// swallow all traffic for good; new ones work.
-	Silence bool
+	Blackhole bool
 }
 
 // delay returns the time that a segment is on its way.
@@ -113,7 +113,7 @@
 		if in.Cut {
 			p.close()
 		}
-		if in.Silence {
+		if in.Blackhole {
 			p.silent.Store(true)
 		}
 	}
--- a/bench/relayer/relayer_test.go
+++ b/bench/relayer/relayer_test.go
@@ -88,7 +88,7 @@
 	}
 	old := dial()
 	is.NoErr(exchange(old, 5*time.Second))
-	r.Apply(func(netip.Addr) relayer.Rule { return relayer.Rule{Silence: true} })
+	r.Apply(func(netip.Addr) relayer.Rule { return relayer.Rule{Blackhole: true} })
 	is.NoErr(exchange(dial(), 5*time.Second))
 	r.Apply(func(netip.Addr) relayer.Rule { return relayer.Rule{} })
 	is.True(exchange(old, 100*time.Millisecond) != nil)
