--- a/bench/deployer/network.go
+++ b/bench/deployer/network.go
@@ -27,9 +27,9 @@
 	f.applyRules()
 }
 
-// Silence makes the open connections of zones with all others and the store
+// Blackhole makes the open connections of zones with all others and the store
 // swallow all traffic for good; new ones work.
-func (f *Fleet) Silence(zones ...string) {
+func (f *Fleet) Blackhole(zones ...string) {
 	f.set(f.silent, zones, true)
 	f.set(f.silent, zones, false)
 }
--- a/bench/player/event.go
+++ b/bench/player/event.go
@@ -47,7 +47,7 @@
 		r.fail(r.storeFault(ctx, number, event, false))
 	case event.Kind == experimenter.Silence:
 		inside, _ := r.sides(event)
-		r.fleet.Silence(inside...)
+		r.fleet.Blackhole(inside...)
 		r.fault(from, r.selected(number, event)...)
 	case event.Kind.Link():
 		r.link(number, event, true)
