--- a/bench/converger/converger.go
+++ b/bench/converger/converger.go
@@ -94,7 +94,7 @@
 
 // Run starts a fleet, measures and stops it.
 func Run(ctx context.Context, c Case) (Result, error) {
-	zones := deployer.Today(c.Nodes / 6)
+	zones := deployer.ReferenceZones(c.Nodes / 6)
 	fleet, err := deployer.New(deployer.Spec{
 		Binaries: c.Binaries, Directory: c.Directory, Zones: zones,
 		Services: []string{"quote-desk"}, Relays: c.RegionDelay > 0 || c.ZoneDelay > 0,
--- a/bench/deployer/spec.go
+++ b/bench/deployer/spec.go
@@ -51,9 +51,9 @@
 	Services []string
 }
 
-// Today returns the six availability zones of today's deployments with the
+// ReferenceZones returns the six availability zones of today's deployments with the
 // given nodes in each; the store is in the first region.
-func Today(nodes int) []Zone {
+func ReferenceZones(nodes int) []Zone {
 	regions := []string{"kigali", "north", "south"}
 	var zones []Zone
 	for _, region := range regions {
--- a/bench/stresser/balance.go
+++ b/bench/stresser/balance.go
@@ -100,7 +100,7 @@
 		services = append(services, service)
 	}
 	fleet, err := c.deploy(ctx, deployer.Spec{
-		Zones: deployer.Today(nodes), Services: services, Relays: true,
+		Zones: deployer.ReferenceZones(nodes), Services: services, Relays: true,
 		ZoneDelay: 500 * time.Microsecond, RegionDelay: 10 * time.Millisecond,
 		NodeArgs:     []string{"--balance", policy, "--drain-delay", "0s"},
 		UpstreamArgs: []string{"--work", c.Work.String(), "--slots", fmt.Sprint(balanceSlots)},
--- a/bench/stresser/leave.go
+++ b/bench/stresser/leave.go
@@ -92,7 +92,7 @@
 
 func (c Case) leave(ctx context.Context, leave func(context.Context, *deployer.Node) error) (Leave, error) {
 	fleet, err := c.deploy(ctx, deployer.Spec{
-		Zones: deployer.Today(1), Services: []string{"quote-desk", "other"}, Relays: true,
+		Zones: deployer.ReferenceZones(1), Services: []string{"quote-desk", "other"}, Relays: true,
 		ZoneDelay: 500 * time.Microsecond, RegionDelay: 10 * time.Millisecond,
 		UpstreamArgs: []string{"--work", leaveWork.String(), "--slots", "64"},
 	}, leaveSettings)
--- a/bench/system/calls_test.go
+++ b/bench/system/calls_test.go
@@ -113,7 +113,7 @@
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{
-		Zones: deployer.Today(2), Upstreams: true, Services: []string{"quote-desk"},
+		Zones: deployer.ReferenceZones(2), Upstreams: true, Services: []string{"quote-desk"},
 		NodeArgs: []string{"--key-window", keyWindow.String()},
 	})
 	ctx := t.Context()
@@ -202,7 +202,7 @@
 func TestUploadsArriveWhole(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1), Upstreams: true})
 	ctx := t.Context()
 	waitKnown(t, fleet, "quoting")
 	var group sync.WaitGroup
@@ -287,7 +287,7 @@
 			t.Parallel()
 			is := is.New(t)
 			// Every second zone has no quote-desk, so north-2 calls north-1's.
-			fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
+			fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1), Upstreams: true})
 			ctx := t.Context()
 			leaving := fleet.Nodes[2]
 			waitKnown(t, fleet, "quoting")
@@ -351,7 +351,7 @@
 func TestHTTP2Callers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1), Upstreams: true})
 	waitKnown(t, fleet, "quoting")
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -398,7 +398,7 @@
 			t.Parallel()
 			is := is.New(t)
 			fleet := start(t, deployer.Spec{
-				Zones: deployer.Today(1), Upstreams: true, Services: []string{"quote-desk"}, NodeArgs: c.args,
+				Zones: deployer.ReferenceZones(1), Upstreams: true, Services: []string{"quote-desk"}, NodeArgs: c.args,
 			})
 			ctx := t.Context()
 			waitKnown(t, fleet, "quoting")
--- a/bench/system/chains_test.go
+++ b/bench/system/chains_test.go
@@ -44,7 +44,7 @@
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{
 		NodeArgs: []string{"--retry-slack", "10"},
-		Zones:    deployer.Today(2), Upstreams: true, Services: []string{"chain-a", "chain-b", "chain-c", "chain-end"},
+		Zones:    deployer.ReferenceZones(2), Upstreams: true, Services: []string{"chain-a", "chain-b", "chain-c", "chain-end"},
 		UpstreamArgs: []string{"--slots", "64"},
 	})
 	version := apply(t, fleet, "surveys", chains, fleet.Nodes[0])
--- a/bench/system/chaos_test.go
+++ b/bench/system/chaos_test.go
@@ -25,7 +25,7 @@
 func TestAllAtOnceTwice(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(2), Relays: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(2), Relays: true})
 	ctx := t.Context()
 	random := rand.New(rand.NewPCG(chaosSeed, 0))
 	stop := make(chan struct{})
--- a/bench/system/configuration_test.go
+++ b/bench/system/configuration_test.go
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
+			fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(3)})
 			failing := watchers(t, fleet)
 			is.True(len(failing) >= 3) // One in each region at least.
 			t.Logf("%d of %d nodes fail", len(failing), len(fleet.Nodes))
@@ -100,7 +100,7 @@
 func TestMostNodesPause(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(3)})
 	// Links of the first contacts, which bring a change as well, stay open for
 	// 10 s.
 	time.Sleep(13 * time.Second)
@@ -123,7 +123,7 @@
 func TestRestartDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(2)})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(2)})
 	ctx := t.Context()
 	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[1])
 	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
@@ -144,7 +144,7 @@
 func TestHerdRestart(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(3)})
 	ctx := t.Context()
 	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[1])
 	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
@@ -168,7 +168,7 @@
 func TestPartition(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(2), Relays: true, Upstreams: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(2), Relays: true, Upstreams: true})
 	ctx := t.Context()
 	waitKnown(t, fleet, "quoting") // nodes that are cut off can't learn of each other
 	isolated := "north-1"
@@ -190,7 +190,7 @@
 func TestFreeze(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(2), Relays: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(2), Relays: true})
 	ctx := t.Context()
 	fleet.Freeze("south-1")
 	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[0])
@@ -205,7 +205,7 @@
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(1)})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1)})
 	ctx := t.Context()
 	is.NoErr(fleet.StoreFaults(ctx, map[string]any{"rules": []map[string]any{
 		{"kind": "lose", "operations": []string{"put"}, "fraction": 0.33},
--- a/bench/system/judged_test.go
+++ b/bench/system/judged_test.go
@@ -60,7 +60,7 @@
 	is := is.New(t)
 	ctx := t.Context()
 	fleet := startEmpty(t, deployer.Spec{
-		Zones: deployer.Today(1), Upstreams: true, Services: []string{"quote-desk"}, Relays: true,
+		Zones: deployer.ReferenceZones(1), Upstreams: true, Services: []string{"quote-desk"}, Relays: true,
 		UpstreamArgs: []string{"--slots", "6", "--queue", "2"},
 		NodeArgs:     []string{"--drain-delay", "1s", "--drain-timeout", "8s"},
 	})
--- a/bench/system/main_test.go
+++ b/bench/system/main_test.go
@@ -91,7 +91,7 @@
 func startBookings(t *testing.T, args ...string) *deployer.Fleet {
 	t.Helper()
 	fleet := startEmpty(t, deployer.Spec{
-		Zones: deployer.Today(1), Upstreams: true, Services: []string{"quote-desk"}, NodeArgs: args,
+		Zones: deployer.ReferenceZones(1), Upstreams: true, Services: []string{"quote-desk"}, NodeArgs: args,
 	})
 	waitKnown(t, fleet, "admin")
 	configure(t, fleet)
--- a/bench/system/membership_test.go
+++ b/bench/system/membership_test.go
@@ -52,7 +52,7 @@
 	for range 4 {
 		t.Run("start", func(t *testing.T) {
 			t.Parallel()
-			fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
+			fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1), Upstreams: true})
 			waitKnown(t, fleet, "quoting")
 		})
 	}
--- a/bench/system/partition_test.go
+++ b/bench/system/partition_test.go
@@ -32,7 +32,7 @@
 func TestRegionCutWithoutFirstMembers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(3), Relays: true, Upstreams: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(3), Relays: true, Upstreams: true})
 	ctx := t.Context()
 	waitKnown(t, fleet, "quoting")
 	watching := watchers(t, fleet)
--- a/bench/system/route_test.go
+++ b/bench/system/route_test.go
@@ -17,7 +17,7 @@
 func TestRouteWithoutUpstream(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1), Upstreams: true})
 	ctx := t.Context()
 	waitKnown(t, fleet, "quoting")
 	time.Sleep(5 * time.Second) // Nodes report from 5 s after they became ready.
--- a/bench/system/stop_test.go
+++ b/bench/system/stop_test.go
@@ -18,7 +18,7 @@
 func TestSecondSignalEndsAtOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(1)[:2], NodeArgs: []string{"--drain-delay", "1m"}})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1)[:2], NodeArgs: []string{"--drain-delay", "1m"}})
 	ctx := t.Context()
 	node := fleet.Nodes[1]
 	is.NoErr(node.Process.Signal(syscall.SIGTERM))
