--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -289,8 +289,8 @@
 	panic("no node " + name)
 }
 
-// In returns the nodes of a zone.
-func (f *Fleet) In(zone string) []*Node {
+// NodesIn returns the nodes of a zone.
+func (f *Fleet) NodesIn(zone string) []*Node {
 	return slices.DeleteFunc(slices.Clone(f.Nodes), func(n *Node) bool { return n.Zone.Name != zone })
 }
 
--- a/bench/system/configuration_test.go
+++ b/bench/system/configuration_test.go
@@ -172,7 +172,7 @@
 	ctx := t.Context()
 	waitKnown(t, fleet, "quoting") // nodes that are cut off can't learn of each other
 	isolated := "north-1"
-	inside := fleet.In(isolated)
+	inside := fleet.NodesIn(isolated)
 	is.NoErr(deployer.Eventually(ctx, converged, func() bool { return answers(ctx, inside[1], "quotes.example", "/quotes/1") }))
 	fleet.Partition(isolated)
 	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[0])
--- a/bench/system/partition_test.go
+++ b/bench/system/partition_test.go
@@ -95,7 +95,7 @@
 	}
 	for _, zone := range []string{"kigali-1", "north-1"} {
 		is.NoErr(deployer.Eventually(ctx, detected, func() bool {
-			_, metrics, err := deployer.Get(ctx, fleet.In(zone)[0].Operators, "/metrics")
+			_, metrics, err := deployer.Get(ctx, fleet.NodesIn(zone)[0].Operators, "/metrics")
 			return err == nil && gauge(string(metrics), "sycamorerun_tracker_unreachable_zones") == "2"
 		}))
 	}
