--- a/bench/converger/converger.go
+++ b/bench/converger/converger.go
@@ -140,7 +140,7 @@
 	for i := range teams {
 		modes[team(i)] = "flow"
 	}
-	if err := fleet.Teams(ctx, modes); err != nil {
+	if err := fleet.DeclareTeams(ctx, modes); err != nil {
 		return 0, err
 	}
 	var version uint64
--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -378,9 +378,9 @@
 	return Put(ctx, f.storeAt, "/faults", plan)
 }
 
-// Teams declares teams with one operator each, and review with two. It is the
+// DeclareTeams declares teams with one operator each, and review with two. It is the
 // first change of a fleet.
-func (f *Fleet) Teams(ctx context.Context, modes map[string]string) error {
+func (f *Fleet) DeclareTeams(ctx context.Context, modes map[string]string) error {
 	var text strings.Builder
 	text.WriteString("team: admin\nteams:\n")
 	for team, mode := range modes {
--- a/bench/player/player.go
+++ b/bench/player/player.go
@@ -139,7 +139,7 @@
 	if err := r.fleet.Start(ctx); err != nil {
 		return err
 	}
-	if err := r.fleet.Teams(ctx, map[string]string{teamLoad: "flow", teamMarker: "flow"}); err != nil {
+	if err := r.fleet.DeclareTeams(ctx, map[string]string{teamLoad: "flow", teamMarker: "flow"}); err != nil {
 		return err
 	}
 	// The marker's route refers to a service of the load.
--- a/bench/stresser/stresser.go
+++ b/bench/stresser/stresser.go
@@ -84,7 +84,7 @@
 	if err := fleet.Start(ctx); err != nil {
 		return err
 	}
-	if err := fleet.Teams(ctx, map[string]string{"quoting": "flow"}); err != nil {
+	if err := fleet.DeclareTeams(ctx, map[string]string{"quoting": "flow"}); err != nil {
 		return err
 	}
 	outcome, err := fleet.Apply(ctx, "quoting", "quoting", text, fleet.Nodes[0])
--- a/bench/system/judged_test.go
+++ b/bench/system/judged_test.go
@@ -65,7 +65,7 @@
 		NodeArgs:     []string{"--drain-delay", "1s", "--drain-timeout", "8s"},
 	})
 	waitKnown(t, fleet, "admin")
-	is.NoErr(fleet.Teams(ctx, map[string]string{"quoting": "flow"}))
+	is.NoErr(fleet.DeclareTeams(ctx, map[string]string{"quoting": "flow"}))
 	var operator judge.OperatorActions
 	change := func(nodes ...*deployer.Node) {
 		number := len(operator.Versions) + 1
--- a/bench/system/main_test.go
+++ b/bench/system/main_test.go
@@ -80,7 +80,7 @@
 	t.Helper()
 	is := is.New(t)
 	ctx := t.Context()
-	is.NoErr(fleet.Teams(ctx, map[string]string{"quoting": "flow", "surveys": "flow", "careful": "review"}))
+	is.NoErr(fleet.DeclareTeams(ctx, map[string]string{"quoting": "flow", "surveys": "flow", "careful": "review"}))
 	apply(t, fleet, "surveys", surveys, fleet.Nodes[0])
 	version := apply(t, fleet, "quoting", quoting("/quotes"), fleet.Nodes[0])
 	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
