--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -373,8 +373,8 @@
 	return response.StatusCode, text, errors.Wrap(err, "read answer")
 }
 
-// StoreFaults replaces the store's fault plan.
-func (f *Fleet) StoreFaults(ctx context.Context, plan any) error {
+// SetStoreFaults replaces the store's fault plan.
+func (f *Fleet) SetStoreFaults(ctx context.Context, plan any) error {
 	return Put(ctx, f.storeAt, "/faults", plan)
 }
 
--- a/bench/player/event.go
+++ b/bench/player/event.go
@@ -200,7 +200,7 @@
 		rules = append(rules, some...)
 	}
 	r.mutex.Unlock()
-	return r.fleet.StoreFaults(ctx, map[string][]rule{"rules": rules})
+	return r.fleet.SetStoreFaults(ctx, map[string][]rule{"rules": rules})
 }
 
 // storeKind returns the store's name of a fault.
--- a/bench/system/configuration_test.go
+++ b/bench/system/configuration_test.go
@@ -129,7 +129,7 @@
 	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
 	node := fleet.Nodes[0]
 	node.Process.Kill()
-	is.NoErr(fleet.StoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "refuse"}}}))
+	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "refuse"}}}))
 	// The store is down, so the first peers come from the settings.
 	fleet.Seed(node, fleet.Nodes[1], fleet.Nodes[2])
 	is.NoErr(fleet.StartNode(ctx, node))
@@ -151,7 +151,7 @@
 	for _, node := range fleet.Nodes {
 		node.Process.Kill()
 	}
-	is.NoErr(fleet.StoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "delay", "delay": "300ms"}}}))
+	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "delay", "delay": "300ms"}}}))
 	for _, node := range fleet.Nodes {
 		is.NoErr(fleet.StartNode(ctx, node))
 	}
@@ -207,7 +207,7 @@
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1)})
 	ctx := t.Context()
-	is.NoErr(fleet.StoreFaults(ctx, map[string]any{"rules": []map[string]any{
+	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{"rules": []map[string]any{
 		{"kind": "lose", "operations": []string{"put"}, "fraction": 0.33},
 	}}))
 	const rounds = 8
@@ -232,7 +232,7 @@
 		})
 	}
 	group.Wait()
-	is.NoErr(fleet.StoreFaults(ctx, map[string]any{}))
+	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{}))
 	accepted := map[uint64]int{}
 	var newest uint64
 	for _, own := range versions {
