--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -435,8 +435,8 @@
 	return errors.Wrapf(err, "version %s on %d of %d nodes", strconv.FormatUint(version, 10), f.Observer.Count(version), count)
 }
 
-// Seed gives a node its first peers by its settings, for its next start.
-func (f *Fleet) Seed(node *Node, peers ...*Node) {
+// SetSeeds gives a node its first peers by its settings, for its next start.
+func (f *Fleet) SetSeeds(node *Node, peers ...*Node) {
 	var addresses []string
 	for _, peer := range peers {
 		address := peer.Peers
--- a/bench/system/configuration_test.go
+++ b/bench/system/configuration_test.go
@@ -131,7 +131,7 @@
 	node.Process.Kill()
 	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "refuse"}}}))
 	// The store is down, so the first peers come from the settings.
-	fleet.Seed(node, fleet.Nodes[1], fleet.Nodes[2])
+	fleet.SetSeeds(node, fleet.Nodes[1], fleet.Nodes[2])
 	is.NoErr(fleet.StartNode(ctx, node))
 	is.NoErr(fleet.WaitReady(ctx, node))
 	s, err := statusOf(t, fleet, node)
