--- a/bench/observer/observer.go
+++ b/bench/observer/observer.go
@@ -91,8 +91,8 @@
 	return len(o.applied[version])
 }
 
-// Backward returns the processes that went back to an older version.
-func (o *Observer) Backward() []string {
+// Regressions returns the processes that went back to an older version.
+func (o *Observer) Regressions() []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return append([]string{}, o.backward...)
--- a/bench/system/main_test.go
+++ b/bench/system/main_test.go
@@ -64,7 +64,7 @@
 	is.NoErr(err)
 	t.Cleanup(func() {
 		fleet.Stop()
-		if back := fleet.Observer.Backward(); len(back) > 0 {
+		if back := fleet.Observer.Regressions(); len(back) > 0 {
 			t.Errorf("nodes went back to an older version: %v", back)
 		}
 		if t.Failed() {
