--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -109,7 +109,7 @@
 
 // line takes a line that a process logged.
 func (f *Fleet) line(process, line string) {
-	f.Observer.Line(process, line)
+	f.Observer.HandleLine(process, line)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	file := f.logs[process]
--- a/bench/observer/observer.go
+++ b/bench/observer/observer.go
@@ -28,8 +28,8 @@
 	return &Observer{applied: map[uint64]map[string]time.Time{}, highest: map[string]uint64{}}
 }
 
-// Line reads one key=value line of a process; other lines are passed over.
-func (o *Observer) Line(process, line string) {
+// HandleLine reads one key=value line of a process; other lines are passed over.
+func (o *Observer) HandleLine(process, line string) {
 	var message, stamp, version string
 	decoder := logfmt.NewDecoder(bytes.NewBufferString(line))
 	for decoder.ScanRecord() {
