--- a/bench/launcher/launcher.go
+++ b/bench/launcher/launcher.go
@@ -22,8 +22,8 @@
 // stopLimit is how long a process may take to end after SIGTERM.
 const stopLimit = 15 * time.Second
 
-// Line receives each line that a process logs.
-type Line func(process, line string)
+// LineHandler receives each line that a process logs.
+type LineHandler func(process, line string)
 
 // Process is one running program.
 type Process struct {
@@ -36,7 +36,7 @@
 // before Start.
 type Launcher struct {
 	Binaries string
-	Line     Line
+	Line     LineHandler
 
 	mutex     sync.Mutex
 	processes []*Process
