--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -100,7 +100,7 @@
 		silent: map[string]bool{}, degraded: map[string]relayer.Rule{},
 	}
 	f.tokens["admin"], f.adminHash = issuer.Token()
-	f.launcher = &launcher.Launcher{Binaries: spec.Binaries, Line: f.line}
+	f.launcher = &launcher.Launcher{Binaries: spec.Binaries, HandleLine: f.line}
 	err = issuer.Keys(time.Now(), filepath.Join(spec.Directory, "keys"), issuer.Request{
 		Names: []string{"sycamorerun"}, Lifetime: certificateAge, Addresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 	})
--- a/bench/launcher/launcher.go
+++ b/bench/launcher/launcher.go
@@ -35,8 +35,8 @@
 // Launcher starts programs from a directory of binaries. Set the fields
 // before Start.
 type Launcher struct {
-	Binaries string
-	Line     LineHandler
+	Binaries   string
+	HandleLine LineHandler
 
 	mutex     sync.Mutex
 	processes []*Process
@@ -66,7 +66,7 @@
 	scanner := bufio.NewScanner(logs)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
-		l.Line(name, scanner.Text())
+		l.HandleLine(name, scanner.Text())
 	}
 }
 
