--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -118,9 +118,9 @@
 func TestMarker(t *testing.T) {
 	for _, version := range []int{1, 2, MaxMarker} {
 		is := is.New(t)
-		least := Marker(version) - markerStep + time.Millisecond
-		is.True(Marker(version) <= time.Hour)
-		is.Equal(versionOf(int(Marker(version).Milliseconds())), version)
+		least := MarkerTimeout(version) - markerStep + time.Millisecond
+		is.True(MarkerTimeout(version) <= time.Hour)
+		is.Equal(versionOf(int(MarkerTimeout(version).Milliseconds())), version)
 		is.Equal(versionOf(int(least.Milliseconds())), version)
 	}
 }
--- a/bench/caller/marker.go
+++ b/bench/caller/marker.go
@@ -11,10 +11,10 @@
 	MaxMarker = 898
 )
 
-// Marker returns the timeout of the marker route in the version with a number
-// from 1 to MaxMarker. The attempts of a kind with Marker set have no deadline
+// MarkerTimeout returns the timeout of the marker route in the version with a number
+// from 1 to MaxMarker. The attempts of a kind with MarkerTimeout set have no deadline
 // of their own and must be answered within 4 s.
-func Marker(version int) time.Duration { return time.Duration(version+1) * markerStep }
+func MarkerTimeout(version int) time.Duration { return time.Duration(version+1) * markerStep }
 
 // versionOf returns the number of the version by the deadline that arrived, in
 // milliseconds.
--- a/bench/player/fleet.go
+++ b/bench/player/fleet.go
@@ -74,7 +74,7 @@
 // whose timeout shows it to callers.
 func markerSettings(x experimenter.Experiment, number int) string {
 	return fmt.Sprintf("team: %s\nroutes:\n  %s: {hosts: [%s], prefix: /, repeat: always, rank: 1, timeout: %s, split: [{service: %s, weight: 100}]}\n",
-		teamMarker, experimenter.Marker, host(experimenter.Marker), caller.Marker(number), x.Fleet.Services[0].Name)
+		teamMarker, experimenter.Marker, host(experimenter.Marker), caller.MarkerTimeout(number), x.Fleet.Services[0].Name)
 }
 
 // callers returns the callers of the experiment and those that read the
--- a/bench/system/judged_test.go
+++ b/bench/system/judged_test.go
@@ -50,7 +50,7 @@
   book: {hosts: [book.example], prefix: /, timeout: 2s, repeat: never, split: [{service: quote-desk, weight: 100}]}
   late: {hosts: [late.example], prefix: /, timeout: %s, split: [{service: quote-desk, weight: 100}]}
   version: {hosts: [version.example], prefix: /, timeout: %s, class: interactive, split: [{service: quote-desk, weight: 100}]}
-`, judgedTimeout, caller.Marker(version))
+`, judgedTimeout, caller.MarkerTimeout(version))
 }
 
 // Guards against every promise of bench/judge being broken in a fleet that
