--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -116,7 +116,7 @@
 
 // Guards against a version that is read as another one.
 func TestMarker(t *testing.T) {
-	for _, version := range []int{1, 2, MaxMarker} {
+	for _, version := range []int{1, 2, MaxMarkerVersion} {
 		is := is.New(t)
 		least := MarkerTimeout(version) - markerStep + time.Millisecond
 		is.True(MarkerTimeout(version) <= time.Hour)
--- a/bench/caller/marker.go
+++ b/bench/caller/marker.go
@@ -7,8 +7,8 @@
 // most one step below the timeout.
 const (
 	markerStep = 4 * time.Second
-	// MaxMarker keeps the timeout below the settings' limit of 1 h.
-	MaxMarker = 898
+	// MaxMarkerVersion keeps the timeout below the settings' limit of 1 h.
+	MaxMarkerVersion = 898
 )
 
 // MarkerTimeout returns the timeout of the marker route in the version with a number
