--- a/bench/observer/observer.go
+++ b/bench/observer/observer.go
@@ -11,8 +11,8 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Applied is the event that a node logs when a version is in force.
-const Applied = "configuration applied"
+// AppliedMessage is the event that a node logs when a version is in force.
+const AppliedMessage = "configuration applied"
 
 // Observer collects when each process applied each version.
 type Observer struct {
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	if message != Applied {
+	if message != AppliedMessage {
 		return
 	}
 	number, err := strconv.ParseUint(version, 10, 64)
