--- a/bench/judge/evidence.go
+++ b/bench/judge/evidence.go
@@ -6,80 +6,80 @@
 	"sycamorerun/upstream/recorder"
 )
 
-// run is one execution of a request.
-type run struct {
+// execution is one execution of a request by an upstream.
+type execution struct {
 	id, instance string
 	start, end   time.Time
-	// ended is false for a run that a journal does not end; then end is the time
-	// of the last event of the same process.
+	// ended is false if the journal has no end of the execution. In that case, end
+	// is the time of the last event of the same process.
 	ended bool
 }
 
-// arrival is a request that reached an upstream after its departure was
-// confirmed.
+// arrival is a request that reached an upstream after the confirmation of the
+// upstream's departure.
 type arrival struct {
 	recorder.Event
-	left time.Time
+	departed time.Time
 }
 
-// evidence is what the journals show.
+// evidence is the content of the journals.
 type evidence struct {
-	runs    map[string][]*run
-	damaged []recorder.Event
-	late    []arrival
+	executions map[string][]*execution
+	damaged    []recorder.Event
+	late       []arrival // Arrivals after a confirmed departure.
 }
 
-// collect reads the journals.
+// collect returns the evidence of the journals.
 func collect(journals [][]recorder.Event) evidence {
-	e := evidence{runs: map[string][]*run{}}
+	e := evidence{executions: map[string][]*execution{}}
 	for _, journal := range journals {
-		e.read(journal)
+		e.readJournal(journal)
 	}
 	return e
 }
 
-// read takes one journal, which is in the order of time.
-func (e *evidence) read(journal []recorder.Event) {
-	var left, last time.Time
-	open := map[string][]*run{}
-	closeAll := func() {
-		for _, runs := range open {
-			for _, run := range runs {
-				run.end = last
+// readJournal adds one journal, whose events are in chronological order.
+func (e *evidence) readJournal(journal []recorder.Event) {
+	var departed, last time.Time
+	running := map[string][]*execution{}
+	endRunning := func() {
+		for _, executions := range running {
+			for _, execution := range executions {
+				execution.end = last
 			}
 		}
-		clear(open)
+		clear(running)
 	}
 	for _, event := range journal {
 		switch event.Step {
 		case recorder.StepBoot:
-			closeAll()
-			left = time.Time{}
+			endRunning()
+			departed = time.Time{}
 		case recorder.StepReady:
-			left = time.Time{}
+			departed = time.Time{}
 		case recorder.StepLeave:
-			left = event.Time
+			departed = event.Time
 		case recorder.StepStart:
-			started := &run{id: event.ID, instance: event.Instance, start: event.Time}
-			e.runs[event.ID] = append(e.runs[event.ID], started)
-			open[event.ID] = append(open[event.ID], started)
+			started := &execution{id: event.ID, instance: event.Instance, start: event.Time}
+			e.executions[event.ID] = append(e.executions[event.ID], started)
+			running[event.ID] = append(running[event.ID], started)
 		case recorder.StepEnd, recorder.StepBreak:
-			if runs := open[event.ID]; len(runs) > 0 {
-				runs[0].end, runs[0].ended = event.Time, true
-				open[event.ID] = runs[1:]
+			if executions := running[event.ID]; len(executions) > 0 {
+				executions[0].end, executions[0].ended = event.Time, true
+				running[event.ID] = executions[1:]
 			}
 		case recorder.StepDamage:
 			e.damaged = append(e.damaged, event)
 		}
-		if !left.IsZero() && arrives(event.Step) {
-			e.late = append(e.late, arrival{event, left})
+		if !departed.IsZero() && showsArrival(event.Step) {
+			e.late = append(e.late, arrival{event, departed})
 		}
 		last = event.Time
 	}
-	closeAll()
+	endRunning()
 }
 
-// arrives reports whether a step shows that a request reached the upstream.
-func arrives(step recorder.Step) bool {
+// showsArrival reports whether a step shows that a request reached the upstream.
+func showsArrival(step recorder.Step) bool {
 	return step == recorder.StepStart || step == recorder.StepShed || step == recorder.StepDamage
 }
--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -1,6 +1,6 @@
-// Package judge finds broken promises of the system. It decides from the
-// records of callers, upstreams and the operator alone, never from what nodes
-// say about themselves.
+// Package judge finds violated guarantees of the system. It uses the records of
+// the callers, the upstreams and the operator only, never the status that nodes
+// report about themselves.
 package judge
 
 import (
@@ -11,87 +11,92 @@
 	"sycamorerun/upstream/recorder"
 )
 
-// Promise is a promise of the system.
+// Promise names a guarantee of the system.
 type Promise string
 
-// Promises that are judged.
+// Promises that Judge checks.
 const (
-	// Whole: responses and requests arrive complete and are those of the caller.
+	// Whole means that requests and responses arrive complete and that a caller
+	// gets the response to its own request.
 	Whole Promise = "whole"
-	// NotRun: what was "not run" did not run and does not run later.
+	// NotRun means that an attempt with the result "not run" is never executed,
+	// also not later.
 	NotRun Promise = "not-run"
-	// Once: a request that must not run twice runs at most once.
+	// Once means that a request that must not run twice is executed at most once.
 	Once Promise = "once"
-	// Departure: no request reaches an upstream some time after its departure
-	// was confirmed.
+	// Departure means that no request reaches an upstream later than the bound
+	// after the confirmation of its departure.
 	Departure Promise = "departure"
-	// Monotonic: no node has an older version in effect after a newer one.
+	// Monotonic means that no node returns to an older version of the settings.
 	Monotonic Promise = "monotonic"
-	// Force: an accepted version is in effect on every node in time.
+	// Force means that an accepted version takes effect on every node within the
+	// bound.
 	Force Promise = "force"
-	// Stop: a planned stop interrupts no request in flight.
+	// Stop means that a planned stop interrupts no request in flight.
 	Stop Promise = "stop"
-	// Answer: a caller is told something at its deadline.
+	// Answer means that an attempt ends within the bound after its deadline, with a
+	// response or an error.
 	Answer Promise = "answer"
-	// Release: work ends soon after its caller left or its deadline passed.
+	// Release means that an execution ends within the bound after its caller
+	// disconnected or its deadline passed.
 	Release Promise = "release"
 )
 
-// Bounds are the times within which promises must be kept.
+// Bounds are the time limits of the promises.
 type Bounds struct {
 	Departure, Force, Answer, Release time.Duration
 }
 
-// DefaultBounds are those of the users' brief.
+// DefaultBounds are the limits that the users require.
 var DefaultBounds = Bounds{
 	Departure: 2500 * time.Millisecond, Force: 7 * time.Second,
 	Answer: 500 * time.Millisecond, Release: 500 * time.Millisecond,
 }
 
-// Version is an accepted version by the number of its marker.
+// Version is an accepted version of the settings. Number is the one that its
+// marker encodes.
 type Version struct {
 	Number   int
 	Accepted time.Time
 }
 
-// Span is a time in which something happened to a node and the upstream beside
-// it, which has the same name. An empty name stands for all of them.
+// Span is a time interval that concerns a node and the upstream beside it, which
+// has the same name. An empty name stands for all nodes and upstreams.
 type Span struct {
 	Node     string
 	From, To time.Time
-	// Upstream says that only the upstream is concerned.
+	// Upstream limits the span to the upstream.
 	Upstream bool
 }
 
-// OperatorActions is what the operator did.
+// OperatorActions are the changes, stops and injected faults of a run.
 type OperatorActions struct {
 	Versions []Version
-	// Stops are planned stops of a node or its upstream, from the signal to the
-	// end of the process.
+	// Stops are the planned stops of nodes and upstreams, each from the signal to
+	// the end of the process.
 	Stops []Span
-	// Faults are times in which a node, its upstream or its network was killed,
-	// paused, cut off or faulty. They excuse what could not be in time and what
-	// was interrupted, but no wrong response, no false "not run", no second run
-	// and no older version.
+	// Faults are the spans in which a node, its upstream or its network was killed,
+	// paused, cut off or faulty. They excuse delays and interruptions, but no wrong
+	// response, no false "not run", no second execution and no older version.
 	Faults []Span
-	// Stalls are times in which the callers did not run. What they saw late is
-	// taken to have been in time by as much.
+	// Stalls are the spans in which the callers' process did not run. Their length
+	// is subtracted from the delays that the callers measured.
 	Stalls []Span
 }
 
-// Finding is one broken promise.
+// Finding is one violation of a promise.
 type Finding struct {
 	Promise Promise
-	// ID is that of the attempt or of the request, Instance the node or the
-	// upstream concerned.
+	// ID is the id of the attempt or of the request, Instance the name of the node
+	// or the upstream.
 	ID, Instance string
-	// Start and End are the times that show it: those of the attempt or of the
-	// execution, or the time from which and that at which it was due.
+	// Start and End delimit the violation: the start and end of the attempt or the
+	// execution, or the start of the time limit and the time of the violation.
 	Start, End time.Time
 	Detail     string
 }
 
-// judgement is one judgement in progress.
+// judgement is the state of one call of Judge.
 type judgement struct {
 	records  []caller.Record
 	operator OperatorActions
@@ -100,8 +105,8 @@
 	findings []Finding
 }
 
-// Judge returns all broken promises in the order of their start. Each journal
-// is that of the upstreams that ran beside one node.
+// Judge returns all violations in the order of their start. Each journal belongs
+// to the upstreams that ran beside one node.
 func Judge(records []caller.Record, journals [][]recorder.Event, operator OperatorActions, bounds Bounds) []Finding {
 	j := &judgement{records: records, operator: operator, bounds: bounds, evidence: collect(journals)}
 	for _, record := range records {
@@ -123,24 +128,27 @@
 
 func (j *judgement) add(finding Finding) { j.findings = append(j.findings, finding) }
 
-// excused reports whether a fault of one of the nodes overlaps a time.
-func (j *judgement) excused(from, to time.Time, nodes ...string) bool {
-	return j.faulty(from, to, func(fault Span) bool { return !fault.Upstream && slices.Contains(nodes, fault.Node) })
+// nodeFaulty reports whether a fault of one of the nodes overlaps an interval.
+// Faults of upstreams alone don't count.
+func (j *judgement) nodeFaulty(from, to time.Time, nodes ...string) bool {
+	return j.overlapsFault(from, to, func(fault Span) bool { return !fault.Upstream && slices.Contains(nodes, fault.Node) })
 }
 
-// interrupted reports whether a fault of an upstream overlaps a time.
-func (j *judgement) interrupted(from, to time.Time, upstream string) bool {
-	return j.faulty(from, to, func(fault Span) bool { return fault.Node == upstream })
+// upstreamFaulty reports whether a fault of an upstream, or of the node beside
+// it, overlaps an interval.
+func (j *judgement) upstreamFaulty(from, to time.Time, upstream string) bool {
+	return j.overlapsFault(from, to, func(fault Span) bool { return fault.Node == upstream })
 }
 
-func (j *judgement) faulty(from, to time.Time, concerns func(Span) bool) bool {
+func (j *judgement) overlapsFault(from, to time.Time, affects func(Span) bool) bool {
 	return slices.ContainsFunc(j.operator.Faults, func(fault Span) bool {
-		return (fault.Node == "" || concerns(fault)) && fault.overlaps(from, to)
+		return (fault.Node == "" || affects(fault)) && fault.overlaps(from, to)
 	})
 }
 
-// stalled returns for how long the callers did not run within a time.
-func (j *judgement) stalled(from, to time.Time) time.Duration {
+// stallTime returns the time within an interval for which the callers' process
+// did not run.
+func (j *judgement) stallTime(from, to time.Time) time.Duration {
 	var sum time.Duration
 	for _, stall := range j.operator.Stalls {
 		if stall.overlaps(from, to) {
@@ -152,16 +160,17 @@
 
 func (s Span) overlaps(from, to time.Time) bool { return s.From.Before(to) && s.To.After(from) }
 
-// judgeDepartures finds arrivals at upstreams that left.
+// judgeDepartures finds requests that reached an upstream too long after its
+// departure.
 func (j *judgement) judgeDepartures() {
 	for _, arrival := range j.evidence.late {
-		if arrival.Time.Sub(arrival.left) > j.bounds.Departure && !j.excused(arrival.left, arrival.Time, arrival.Instance) {
-			j.add(Finding{Departure, arrival.ID, arrival.Instance, arrival.left, arrival.Time, "arrived " + arrival.Time.Sub(arrival.left).String() + " after the confirmed departure"})
+		if arrival.Time.Sub(arrival.departed) > j.bounds.Departure && !j.nodeFaulty(arrival.departed, arrival.Time, arrival.Instance) {
+			j.add(Finding{Departure, arrival.ID, arrival.Instance, arrival.departed, arrival.Time, "arrived " + arrival.Time.Sub(arrival.departed).String() + " after the confirmed departure"})
 		}
 	}
 }
 
-// Count returns the number of findings for each promise.
+// Count returns the number of findings by promise.
 func Count(findings []Finding) map[Promise]int {
 	counts := map[Promise]int{}
 	for _, finding := range findings {
@@ -170,8 +179,8 @@
 	return counts
 }
 
-// sorted returns a copy of items in an order by time.
-func sorted[T any](items []T, at func(T) time.Time) []T {
+// sortByTime returns a copy of items in chronological order.
+func sortByTime[T any](items []T, at func(T) time.Time) []T {
 	copied := slices.Clone(items)
 	slices.SortStableFunc(copied, func(a, b T) int { return at(a).Compare(at(b)) })
 	return copied
--- a/bench/judge/judge_test.go
+++ b/bench/judge/judge_test.go
@@ -13,13 +13,13 @@
 	"sycamorerun/upstream/recorder"
 )
 
-// at returns a time by its milliseconds.
+// at returns the time ms milliseconds after the start of the test's clock.
 func at(ms int) time.Time { return time.UnixMilli(int64(1_000_000 + ms)) }
 
 func span(node string, from, to int) Span { return Span{Node: node, From: at(from), To: at(to)} }
 
-// try returns an attempt at node n from 0 to 100 ms.
-func try(result sycamorerun.Result, changes ...func(*caller.Attempt)) caller.Attempt {
+// newAttempt returns an attempt at node n from 0 to 100 ms.
+func newAttempt(result sycamorerun.Result, changes ...func(*caller.Attempt)) caller.Attempt {
 	attempt := caller.Attempt{ID: "r.0", Node: "n", Start: at(0), End: at(100), Result: result, Limit: time.Second}
 	if result == sycamorerun.Answered {
 		attempt.Status, attempt.Whole = http.StatusOK, true
@@ -30,20 +30,21 @@
 	return attempt
 }
 
-func during(from, to int) func(*caller.Attempt) {
+func withTimes(from, to int) func(*caller.Attempt) {
 	return func(a *caller.Attempt) { a.Start, a.End = at(from), at(to) }
 }
 
-func showing(version int) func(*caller.Attempt) {
+func withVersion(version int) func(*caller.Attempt) {
 	return func(a *caller.Attempt) { a.Version, a.ID, a.Limit = version, "v", 0 }
 }
 
-func left(a *caller.Attempt)      { a.Disconnected = true }
-func unlimited(a *caller.Attempt) { a.Limit = 0 }
-func broken(a *caller.Attempt)    { a.Whole = false }
-func second(a *caller.Attempt)    { a.ID = "r.1" }
+func disconnected(a *caller.Attempt) { a.Disconnected = true }
+func withoutLimit(a *caller.Attempt) { a.Limit = 0 }
+func damaged(a *caller.Attempt)      { a.Whole = false }
+func withSecondID(a *caller.Attempt) { a.ID = "r.1" }
 
-// events returns the journal of upstream u from words such as "start:r.0@5".
+// events parses the journal of upstream u from words such as "start:r.0@5", which
+// is the step, the id of the request and the time in ms.
 func events(t *testing.T, words string) []recorder.Event {
 	t.Helper()
 	var events []recorder.Event
@@ -59,8 +60,7 @@
 	return events
 }
 
-// Guards against a judge that lets a broken promise pass, or that finds one
-// where there is none.
+// Guards against violations that the judge misses and against false findings.
 func TestJudge(t *testing.T) {
 	const (
 		answered = sycamorerun.Answered
@@ -68,53 +68,53 @@
 		unknown  = sycamorerun.Unknown
 		ran      = "boot@-9 start:r.0@5 end:r.0@90"
 	)
-	one := []Version{{1, at(0)}}
-	two := []Version{{1, at(0)}, {2, at(0)}}
+	oneVersion := []Version{{1, at(0)}}
+	twoVersions := []Version{{1, at(0)}, {2, at(0)}}
 	cases := map[string]struct {
 		attempts []caller.Attempt
 		journal  string
 		operator OperatorActions
-		want     Promise // "" for none
+		want     Promise // Empty if no finding is expected.
 	}{
-		"answered":                   {[]caller.Attempt{try(answered)}, ran, OperatorActions{}, ""},
-		"response broken":            {[]caller.Attempt{try(answered, broken)}, ran, OperatorActions{}, Whole},
-		"answered and did not run":   {[]caller.Attempt{try(answered)}, "", OperatorActions{}, Whole},
-		"request damaged":            {[]caller.Attempt{try(unknown)}, "damage:r.0@5", OperatorActions{}, Whole},
-		"not run":                    {[]caller.Attempt{try(notRun), try(answered, second)}, "start:r.1@5 end:r.1@9", OperatorActions{}, ""},
-		"not run and ran":            {[]caller.Attempt{try(notRun)}, ran, OperatorActions{}, NotRun},
-		"not run and ran later":      {[]caller.Attempt{try(notRun, unlimited)}, "start:r.0@20000", OperatorActions{}, NotRun},
-		"not run, then answered":     {[]caller.Attempt{try(notRun), try(answered)}, ran, OperatorActions{}, ""},
-		"ran twice in two attempts":  {[]caller.Attempt{try(unknown), try(answered, second)}, "start:r.0@5 end:r.0@6 start:r.1@7 end:r.1@8", OperatorActions{}, Once},
-		"ran twice in one attempt":   {[]caller.Attempt{try(unknown)}, "start:r.0@5 break:r.0@6 start:r.0@7 end:r.0@8", OperatorActions{Faults: []Span{span("", 0, 99)}}, Once},
-		"arrived after departure":    {[]caller.Attempt{try(answered, during(2400, 2600))}, "leave@0 start:r.0@2501 end:r.0@2590", OperatorActions{}, Departure},
-		"shed after departure":       {[]caller.Attempt{try(notRun, during(2400, 2600))}, "leave@0 shed:r.0@2501", OperatorActions{}, Departure},
-		"arrived soon enough":        {[]caller.Attempt{try(answered)}, "leave@0 start:r.0@90 end:r.0@95", OperatorActions{}, ""},
-		"arrived at the next boot":   {[]caller.Attempt{try(answered, during(2600, 2900))}, "leave@0 boot@2550 start:r.0@2600 end:r.0@2601", OperatorActions{}, ""},
-		"arrived when ready again":   {[]caller.Attempt{try(answered, during(2600, 2900))}, "leave@0 ready@2550 start:r.0@2600 end:r.0@2601", OperatorActions{}, ""},
-		"older version":              {[]caller.Attempt{try(answered, showing(2), during(0, 5)), try(answered, showing(1), during(6, 9))}, "start:v@1 start:v@7", OperatorActions{}, Monotonic},
-		"older version, concurrent":  {[]caller.Attempt{try(answered, showing(2), during(0, 5)), try(answered, showing(1), during(4, 9))}, "start:v@1 start:v@7", OperatorActions{}, ""},
-		"version late":               {[]caller.Attempt{try(answered, showing(1), during(7001, 7009))}, "start:v@7002", OperatorActions{Versions: two}, Force},
-		"version in time":            {[]caller.Attempt{try(answered, showing(1), during(6999, 7009)), try(answered, showing(2), during(7010, 7011))}, "start:v@7002", OperatorActions{Versions: two}, ""},
-		"version late after a fault": {[]caller.Attempt{try(answered, showing(1), during(12001, 12009))}, "start:v@12002", OperatorActions{Versions: two, Faults: []Span{span("n", 1000, 5000)}}, Force},
-		"version after a fault":      {[]caller.Attempt{try(answered, showing(1), during(11999, 12009))}, "start:v@12002", OperatorActions{Versions: two, Faults: []Span{span("n", 1000, 5000)}}, ""},
-		"version shown":              {[]caller.Attempt{try(answered, showing(1), during(9000, 9001))}, "start:v@9000", OperatorActions{Versions: one}, ""},
-		"interrupted at its node":    {[]caller.Attempt{try(unknown)}, "", OperatorActions{Stops: []Span{span("n", 50, 500)}}, Stop},
-		"interrupted at an upstream": {[]caller.Attempt{try(unknown)}, "start:r.0@60 break:r.0@70", OperatorActions{Stops: []Span{span("u", 50, 500)}}, Stop},
-		"another attempt ran":        {[]caller.Attempt{try(unknown, during(60, 61)), try(answered, during(70, 90))}, "start:r.0@75 end:r.0@80", OperatorActions{Stops: []Span{span("n", 50, 500)}}, ""},
-		"faulty upstream":            {[]caller.Attempt{try(unknown)}, "start:r.0@60 break:r.0@70", OperatorActions{Stops: []Span{span("n", 50, 500)}, Faults: []Span{{Node: "u", From: at(0), To: at(99), Upstream: true}}}, ""},
-		"came during a stop":         {[]caller.Attempt{try(unknown)}, "", OperatorActions{Stops: []Span{span("n", -50, 500)}}, ""},
-		"refused by a stop":          {[]caller.Attempt{try(notRun)}, "", OperatorActions{Stops: []Span{span("n", 50, 500)}}, ""},
-		"interrupted by a fault":     {[]caller.Attempt{try(unknown)}, "", OperatorActions{Stops: []Span{span("n", 50, 500)}, Faults: []Span{span("n", 90, 95)}}, ""},
-		"told late":                  {[]caller.Attempt{try(unknown, during(0, 1501))}, "", OperatorActions{}, Answer},
-		"callers stalled":            {[]caller.Attempt{try(unknown, during(0, 1599))}, "", OperatorActions{Stalls: []Span{span("", 900, 1000)}}, ""},
-		"callers stalled too little": {[]caller.Attempt{try(unknown, during(0, 1601))}, "", OperatorActions{Stalls: []Span{span("", 900, 1000), span("", 1700, 1800)}}, Answer},
-		"told in time":               {[]caller.Attempt{try(unknown, during(0, 1499))}, "", OperatorActions{}, ""},
-		"told late by a paused node": {[]caller.Attempt{try(unknown, during(0, 1501))}, "", OperatorActions{Faults: []Span{span("n", 500, 900)}}, ""},
-		"ran on without its caller":  {[]caller.Attempt{try(unknown, left)}, "start:r.0@5 break:r.0@601", OperatorActions{}, Release},
-		"runs on without its caller": {[]caller.Attempt{try(unknown, left)}, "start:r.0@5 start:x@601", OperatorActions{}, Release},
-		"crashed with its caller":    {[]caller.Attempt{try(unknown, left)}, "start:r.0@5 boot@601", OperatorActions{}, ""},
-		"ended with its caller":      {[]caller.Attempt{try(unknown, left)}, "start:r.0@5 break:r.0@599", OperatorActions{}, ""},
-		"ran on after the deadline":  {[]caller.Attempt{try(unknown, during(0, 1010))}, "start:r.0@5 end:r.0@1501", OperatorActions{}, Release},
+		"answered":                   {[]caller.Attempt{newAttempt(answered)}, ran, OperatorActions{}, ""},
+		"response broken":            {[]caller.Attempt{newAttempt(answered, damaged)}, ran, OperatorActions{}, Whole},
+		"answered and did not run":   {[]caller.Attempt{newAttempt(answered)}, "", OperatorActions{}, Whole},
+		"request damaged":            {[]caller.Attempt{newAttempt(unknown)}, "damage:r.0@5", OperatorActions{}, Whole},
+		"not run":                    {[]caller.Attempt{newAttempt(notRun), newAttempt(answered, withSecondID)}, "start:r.1@5 end:r.1@9", OperatorActions{}, ""},
+		"not run and ran":            {[]caller.Attempt{newAttempt(notRun)}, ran, OperatorActions{}, NotRun},
+		"not run and ran later":      {[]caller.Attempt{newAttempt(notRun, withoutLimit)}, "start:r.0@20000", OperatorActions{}, NotRun},
+		"not run, then answered":     {[]caller.Attempt{newAttempt(notRun), newAttempt(answered)}, ran, OperatorActions{}, ""},
+		"ran twice in two attempts":  {[]caller.Attempt{newAttempt(unknown), newAttempt(answered, withSecondID)}, "start:r.0@5 end:r.0@6 start:r.1@7 end:r.1@8", OperatorActions{}, Once},
+		"ran twice in one attempt":   {[]caller.Attempt{newAttempt(unknown)}, "start:r.0@5 break:r.0@6 start:r.0@7 end:r.0@8", OperatorActions{Faults: []Span{span("", 0, 99)}}, Once},
+		"arrived after departure":    {[]caller.Attempt{newAttempt(answered, withTimes(2400, 2600))}, "leave@0 start:r.0@2501 end:r.0@2590", OperatorActions{}, Departure},
+		"shed after departure":       {[]caller.Attempt{newAttempt(notRun, withTimes(2400, 2600))}, "leave@0 shed:r.0@2501", OperatorActions{}, Departure},
+		"arrived soon enough":        {[]caller.Attempt{newAttempt(answered)}, "leave@0 start:r.0@90 end:r.0@95", OperatorActions{}, ""},
+		"arrived at the next boot":   {[]caller.Attempt{newAttempt(answered, withTimes(2600, 2900))}, "leave@0 boot@2550 start:r.0@2600 end:r.0@2601", OperatorActions{}, ""},
+		"arrived when ready again":   {[]caller.Attempt{newAttempt(answered, withTimes(2600, 2900))}, "leave@0 ready@2550 start:r.0@2600 end:r.0@2601", OperatorActions{}, ""},
+		"older version":              {[]caller.Attempt{newAttempt(answered, withVersion(2), withTimes(0, 5)), newAttempt(answered, withVersion(1), withTimes(6, 9))}, "start:v@1 start:v@7", OperatorActions{}, Monotonic},
+		"older version, concurrent":  {[]caller.Attempt{newAttempt(answered, withVersion(2), withTimes(0, 5)), newAttempt(answered, withVersion(1), withTimes(4, 9))}, "start:v@1 start:v@7", OperatorActions{}, ""},
+		"version late":               {[]caller.Attempt{newAttempt(answered, withVersion(1), withTimes(7001, 7009))}, "start:v@7002", OperatorActions{Versions: twoVersions}, Force},
+		"version in time":            {[]caller.Attempt{newAttempt(answered, withVersion(1), withTimes(6999, 7009)), newAttempt(answered, withVersion(2), withTimes(7010, 7011))}, "start:v@7002", OperatorActions{Versions: twoVersions}, ""},
+		"version late after a fault": {[]caller.Attempt{newAttempt(answered, withVersion(1), withTimes(12001, 12009))}, "start:v@12002", OperatorActions{Versions: twoVersions, Faults: []Span{span("n", 1000, 5000)}}, Force},
+		"version after a fault":      {[]caller.Attempt{newAttempt(answered, withVersion(1), withTimes(11999, 12009))}, "start:v@12002", OperatorActions{Versions: twoVersions, Faults: []Span{span("n", 1000, 5000)}}, ""},
+		"version shown":              {[]caller.Attempt{newAttempt(answered, withVersion(1), withTimes(9000, 9001))}, "start:v@9000", OperatorActions{Versions: oneVersion}, ""},
+		"interrupted at its node":    {[]caller.Attempt{newAttempt(unknown)}, "", OperatorActions{Stops: []Span{span("n", 50, 500)}}, Stop},
+		"interrupted at an upstream": {[]caller.Attempt{newAttempt(unknown)}, "start:r.0@60 break:r.0@70", OperatorActions{Stops: []Span{span("u", 50, 500)}}, Stop},
+		"another attempt ran":        {[]caller.Attempt{newAttempt(unknown, withTimes(60, 61)), newAttempt(answered, withTimes(70, 90))}, "start:r.0@75 end:r.0@80", OperatorActions{Stops: []Span{span("n", 50, 500)}}, ""},
+		"faulty upstream":            {[]caller.Attempt{newAttempt(unknown)}, "start:r.0@60 break:r.0@70", OperatorActions{Stops: []Span{span("n", 50, 500)}, Faults: []Span{{Node: "u", From: at(0), To: at(99), Upstream: true}}}, ""},
+		"came during a stop":         {[]caller.Attempt{newAttempt(unknown)}, "", OperatorActions{Stops: []Span{span("n", -50, 500)}}, ""},
+		"refused by a stop":          {[]caller.Attempt{newAttempt(notRun)}, "", OperatorActions{Stops: []Span{span("n", 50, 500)}}, ""},
+		"interrupted by a fault":     {[]caller.Attempt{newAttempt(unknown)}, "", OperatorActions{Stops: []Span{span("n", 50, 500)}, Faults: []Span{span("n", 90, 95)}}, ""},
+		"told late":                  {[]caller.Attempt{newAttempt(unknown, withTimes(0, 1501))}, "", OperatorActions{}, Answer},
+		"callers stalled":            {[]caller.Attempt{newAttempt(unknown, withTimes(0, 1599))}, "", OperatorActions{Stalls: []Span{span("", 900, 1000)}}, ""},
+		"callers stalled too little": {[]caller.Attempt{newAttempt(unknown, withTimes(0, 1601))}, "", OperatorActions{Stalls: []Span{span("", 900, 1000), span("", 1700, 1800)}}, Answer},
+		"told in time":               {[]caller.Attempt{newAttempt(unknown, withTimes(0, 1499))}, "", OperatorActions{}, ""},
+		"told late by a paused node": {[]caller.Attempt{newAttempt(unknown, withTimes(0, 1501))}, "", OperatorActions{Faults: []Span{span("n", 500, 900)}}, ""},
+		"ran on without its caller":  {[]caller.Attempt{newAttempt(unknown, disconnected)}, "start:r.0@5 break:r.0@601", OperatorActions{}, Release},
+		"runs on without its caller": {[]caller.Attempt{newAttempt(unknown, disconnected)}, "start:r.0@5 start:x@601", OperatorActions{}, Release},
+		"crashed with its caller":    {[]caller.Attempt{newAttempt(unknown, disconnected)}, "start:r.0@5 boot@601", OperatorActions{}, ""},
+		"ended with its caller":      {[]caller.Attempt{newAttempt(unknown, disconnected)}, "start:r.0@5 break:r.0@599", OperatorActions{}, ""},
+		"ran on after the deadline":  {[]caller.Attempt{newAttempt(unknown, withTimes(0, 1010))}, "start:r.0@5 end:r.0@1501", OperatorActions{}, Release},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// Guards against a line of a journal that is read as another one or lost.
+// Guards against journal lines that are lost or parsed as another event.
 func TestEvents(t *testing.T) {
 	is := is.New(t)
 	var journal strings.Builder
--- a/bench/judge/version.go
+++ b/bench/judge/version.go
@@ -7,18 +7,18 @@
 	"sycamorerun/bench/caller"
 )
 
-// judgeVersions finds nodes that go back to an older version or have an
-// accepted one too late. Only attempts that show a version count.
+// judgeVersions finds nodes that return to an older version or apply an accepted
+// version too late. It uses only the attempts that show a version.
 func (j *judgement) judgeVersions() {
-	shown := map[string][]caller.Attempt{}
+	observed := map[string][]caller.Attempt{}
 	for _, record := range j.records {
 		for _, attempt := range record.Attempts {
 			if attempt.Version > 0 {
-				shown[attempt.Node] = append(shown[attempt.Node], attempt)
+				observed[attempt.Node] = append(observed[attempt.Node], attempt)
 			}
 		}
 	}
-	for node, attempts := range shown {
+	for node, attempts := range observed {
 		j.judgeMonotonic(node, attempts)
 		for _, attempt := range attempts {
 			j.judgeForce(node, attempt)
@@ -26,12 +26,13 @@
 	}
 }
 
-// judgeMonotonic compares each attempt with those that ended before it began.
+// judgeMonotonic compares each attempt with those that ended before it started.
+// Concurrent attempts have no order and are not compared.
 func (j *judgement) judgeMonotonic(node string, attempts []caller.Attempt) {
-	byEnd := sorted(attempts, func(a caller.Attempt) time.Time { return a.End })
+	byEnd := sortByTime(attempts, func(a caller.Attempt) time.Time { return a.End })
 	var newest caller.Attempt
 	ended := 0
-	for _, attempt := range sorted(attempts, func(a caller.Attempt) time.Time { return a.Start }) {
+	for _, attempt := range sortByTime(attempts, func(a caller.Attempt) time.Time { return a.Start }) {
 		for ; ended < len(byEnd) && byEnd[ended].End.Before(attempt.Start); ended++ {
 			if byEnd[ended].Version > newest.Version {
 				newest = byEnd[ended]
@@ -43,8 +44,8 @@
 	}
 }
 
-// judgeForce compares an attempt with the versions that were due when it
-// began.
+// judgeForce compares an attempt with the versions that had to be in effect when
+// it started.
 func (j *judgement) judgeForce(node string, attempt caller.Attempt) {
 	for _, version := range j.operator.Versions {
 		if due := j.due(node, version); attempt.Version < version.Number && attempt.Start.After(due) {
@@ -54,14 +55,14 @@
 	}
 }
 
-// due returns when a version must be in effect on a node. A fault before that
-// begins the time anew when it ends.
+// due returns the time by which a version must be in effect on a node. A fault
+// within the time limit restarts the limit when the fault ends.
 func (j *judgement) due(node string, version Version) time.Time {
 	due := version.Accepted.Add(j.bounds.Force)
-	for _, fault := range sorted(j.operator.Faults, func(s Span) time.Time { return s.From }) {
-		renewed := fault.To.Add(j.bounds.Force)
-		if (fault.Node == "" || fault.Node == node && !fault.Upstream) && fault.From.Before(due) && fault.To.After(version.Accepted) && renewed.After(due) {
-			due = renewed
+	for _, fault := range sortByTime(j.operator.Faults, func(s Span) time.Time { return s.From }) {
+		extended := fault.To.Add(j.bounds.Force)
+		if (fault.Node == "" || fault.Node == node && !fault.Upstream) && fault.From.Before(due) && fault.To.After(version.Accepted) && extended.After(due) {
+			due = extended
 		}
 	}
 	return due
