--- a/bench/caller/caller.go
+++ b/bench/caller/caller.go
@@ -1,7 +1,8 @@
-// Package caller is the callers of a fleet in an open loop: each request
-// starts when it is due, whatever became of the earlier ones, and its latency
-// counts from that time. Each attempt has an id of its own in header and body,
-// so that the upstreams' journals show what ran.
+// Package caller generates the load of a fleet's callers in an open loop: each
+// request is sent when it is due, whether or not earlier ones have ended, and its
+// latency counts from that time. Each attempt carries its own id in the header and
+// the body, so that the journals of the upstreams show which attempts were
+// executed.
 package caller
 
 import (
@@ -16,29 +17,29 @@
 )
 
 const (
-	// slowest is the largest latency that is recorded, precision the number of
-	// significant digits.
-	slowest   = 10 * time.Minute
-	precision = 3
-	// idleConnections is kept to each node.
+	// maxLatency is the largest latency that the histograms record.
+	maxLatency        = 10 * time.Minute
+	significantDigits = 3
+	// idleConnections is the number of idle connections kept to each node.
 	idleConnections = 512
-	// patience is how long callers wait beyond the limit of an attempt, so that a
-	// late response shows as late. limitless applies where there is no limit.
-	patience  = 5 * time.Second
-	limitless = 4 * time.Second
-	// pause is the time to the next attempt where no response states one.
-	pause = 50 * time.Millisecond
+	// responseGrace is how long callers wait beyond the limit of an attempt, so that
+	// a late response is recorded as late. defaultWait applies to attempts without a
+	// limit.
+	responseGrace = 5 * time.Second
+	defaultWait   = 4 * time.Second
+	// defaultRetryDelay is the delay of a retry where no response states one.
+	defaultRetryDelay = 50 * time.Millisecond
 )
 
-// Generator is the callers. Set the fields before Run.
+// Generator sends the requests of all callers. Set the fields before Run.
 type Generator struct {
-	// Name precedes the ids of the requests. Callers of one experiment need
-	// different ones if their kinds have the same names.
+	// Name is the prefix of the request ids. Generators of one experiment need
+	// different names if their kinds have the same names.
 	Name    string
 	Entries []Entry
 	Kinds   []Kind
 	Bursts  []Burst
-	// Seed fixes all choices.
+	// Seed makes the schedule reproducible.
 	Seed uint64
 
 	client  *http.Client
@@ -47,18 +48,19 @@
 	stalls  []Stall
 }
 
-// Run sends requests for a duration or until ctx ends, and waits for the last
-// one to end. A second run of the same callers would have the same ids.
+// Run sends requests for a duration or until ctx ends, and waits until the last
+// one has ended. It must be called once only, since a second run would use the
+// same ids.
 func (c *Generator) Run(ctx context.Context, duration time.Duration) error {
 	if err := c.verify(); err != nil {
 		return err
 	}
 	c.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}
 	defer c.client.CloseIdleConnections()
-	watching, stop := context.WithCancel(context.WithoutCancel(ctx))
-	var watch sync.WaitGroup
-	watch.Go(func() { c.watch(watching) })
-	defer watch.Wait()
+	stallCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	var detector sync.WaitGroup
+	detector.Go(func() { c.detectStalls(stallCtx) })
+	defer detector.Wait()
 	defer stop()
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -66,13 +68,13 @@
 	for number, kind := range c.Kinds {
 		group.Go(func() {
 			entries := c.entries(kind)
-			for next := range c.schedule(number, duration) {
+			for planned := range c.schedule(number, duration) {
 				select {
 				case <-ctx.Done():
 					return
-				case <-time.After(time.Until(start.Add(next.due))):
+				case <-time.After(time.Until(start.Add(planned.due))):
 				}
-				group.Go(func() { c.request(ctx, kind, entries, next, start.Add(next.due)) })
+				group.Go(func() { c.sendRequest(ctx, kind, entries, planned, start.Add(planned.due)) })
 			}
 		})
 	}
@@ -86,22 +88,22 @@
 	return c.records[:len(c.records):len(c.records)]
 }
 
-// request makes the attempts of one request. The end of ctx does not end it.
-func (c *Generator) request(ctx context.Context, kind Kind, entries []Entry, next request, due time.Time) {
-	record := Record{ID: next.id, Kind: kind.Name, Zone: entries[next.entry].Zone, AtMostOnce: kind.AtMostOnce, Objective: kind.Objective, Start: due}
+// sendRequest sends a request and its retries. The end of ctx does not end it.
+func (c *Generator) sendRequest(ctx context.Context, kind Kind, entries []Entry, planned plannedRequest, due time.Time) {
+	record := Record{ID: planned.id, Kind: kind.Name, Zone: entries[planned.entry].Zone, AtMostOnce: kind.AtMostOnce, Objective: kind.Objective, Start: due}
 	ctx = context.WithoutCancel(ctx)
 	for n := range 1 + kind.Retries {
-		entry := entries[next.entry]
+		entry := entries[planned.entry]
 		if kind.RotateNodes {
-			entry = entries[(next.entry+n)%len(entries)]
+			entry = entries[(planned.entry+n)%len(entries)]
 		}
-		attempt, after := c.try(ctx, kind, entry, &record, n, next.leave)
+		attempt, retryDelay := c.sendAttempt(ctx, kind, entry, &record, n, planned.disconnectAfter)
 		record.Attempts = append(record.Attempts, attempt)
-		if !again(kind, attempt) || n == kind.Retries {
+		if !mayRetry(kind, attempt) || n == kind.Retries {
 			break
 		}
-		if !next.hasty {
-			time.Sleep(after)
+		if !planned.immediateRetry {
+			time.Sleep(retryDelay)
 		}
 	}
 	record.End = time.Now()
@@ -110,36 +112,37 @@
 	c.records = append(c.records, record)
 }
 
-// again reports whether a caller may try once more after an attempt.
-func again(kind Kind, attempt Attempt) bool {
+// mayRetry reports whether a caller may send another attempt after this one.
+func mayRetry(kind Kind, attempt Attempt) bool {
 	switch {
 	case attempt.Disconnected || attempt.Answered():
 		return false
 	case attempt.Status >= http.StatusBadRequest && attempt.Status < http.StatusInternalServerError:
-		return notRunStatuses[attempt.Status] // Others are not to be repeated unchanged.
+		return notRunStatuses[attempt.Status] // Other client errors would only repeat.
 	case attempt.Result == sycamorerun.NotRun:
 		return true
 	}
 	return !kind.AtMostOnce || kind.Key
 }
 
-// Summary counts the requests of a kind.
+// Summary has the counts and latencies of the requests of a kind.
 type Summary struct {
 	Kind string
-	// Requests have ended, Served were answered whole, InTime within the kind's
-	// objective (all served ones if it has none).
+	// Requests counts the requests that ended, Served those that got a complete
+	// response, and InTime those served within the kind's objective, or all served
+	// ones if the kind has none.
 	Requests, Served, InTime int
-	// Latency has the served requests in microseconds.
+	// Latency has the latencies of the served requests in microseconds.
 	Latency *hdrhistogram.Histogram
 }
 
-// Summarize returns a summary for each kind, from the requests that were due
-// from one time up to another.
+// Summarize returns a summary for each kind over the requests that were due at
+// or after from and before to.
 func (c *Generator) Summarize(from, to time.Time) []Summary {
 	summaries := make([]Summary, len(c.Kinds))
 	index := map[string]int{}
 	for i, kind := range c.Kinds {
-		summaries[i] = Summary{Kind: kind.Name, Latency: hdrhistogram.New(1, slowest.Microseconds(), precision)}
+		summaries[i] = Summary{Kind: kind.Name, Latency: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)}
 		index[kind.Name] = i
 	}
 	for _, record := range c.Records() {
@@ -159,6 +162,6 @@
 	if record.Objective == 0 || record.Latency() <= record.Objective {
 		s.InTime++
 	}
-	// A latency above the histogram's range can't occur within the limits.
+	// The limits of the attempts keep latencies within the histogram's range.
 	_ = s.Latency.RecordValue(max(1, record.Latency().Microseconds()))
 }
--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -17,8 +17,8 @@
 	"sycamorerun/upstream/server"
 )
 
-// Guards against experiments that can't be repeated, and against bursts that
-// are not what the description says.
+// Guards against schedules that differ between runs with the same seed, and
+// against bursts with a wrong rate or at a wrong time.
 func TestSchedule(t *testing.T) {
 	is := is.New(t)
 	c := &Generator{
@@ -39,35 +39,35 @@
 		}
 		return n
 	}
-	within := func(n, wanted int) bool { return n > wanted*9/10 && n < wanted*11/10 }
+	within := func(n, expected int) bool { return n > expected*9/10 && n < expected*11/10 }
 	is.True(within(count(0, 10*time.Second), 2000))
 	is.True(within(count(10*time.Second, 15*time.Second), 4000))
 	is.Equal(count(15*time.Second, 16*time.Second), 0)
 	is.True(within(count(16*time.Second, 20*time.Second), 800))
 }
 
-// Guards against callers that misread what they are told, hide waiting time,
-// repeat what must not run twice or ignore the stated time.
+// Guards against misread results, latencies without the waiting time, retries of
+// requests that must not run twice, and an ignored Retry-After.
 func TestAttempts(t *testing.T) {
 	upstream := &server.Server{Name: "u", Slots: 100, Recorder: recorder.New(), Now: time.Now}
 	handler := upstream.Handler()
-	refuse := func(w http.ResponseWriter) {
+	shed := func(w http.ResponseWriter) {
 		w.Header().Set("Retry-After", "0.200")
 		http.Error(w, "full", http.StatusServiceUnavailable)
 	}
 	cases := map[string]struct {
 		kind Kind
-		// first answers the first attempt, nil: the upstream does.
-		first    func(w http.ResponseWriter, r *http.Request)
-		attempts int
-		result   sycamorerun.Result // of the first attempt
-		served   bool
-		least    time.Duration
+		// first handles the first attempt; if nil, the upstream does.
+		first      func(w http.ResponseWriter, r *http.Request)
+		attempts   int
+		result     sycamorerun.Result // of the first attempt
+		served     bool
+		minLatency time.Duration
 	}{
 		"answered":  {Kind{Body: 3000, Response: 5000}, nil, 1, sycamorerun.Answered, true, 0},
 		"chunked":   {Kind{Body: 3000, Chunked: true}, nil, 1, sycamorerun.Answered, true, 0},
-		"refused":   {Kind{Retries: 2, AtMostOnce: true}, func(w http.ResponseWriter, _ *http.Request) { refuse(w) }, 2, sycamorerun.NotRun, true, 200 * time.Millisecond},
-		"hasty":     {Kind{Retries: 2, ImmediateRetryShare: 1}, func(w http.ResponseWriter, _ *http.Request) { refuse(w) }, 2, sycamorerun.NotRun, true, 0},
+		"refused":   {Kind{Retries: 2, AtMostOnce: true}, func(w http.ResponseWriter, _ *http.Request) { shed(w) }, 2, sycamorerun.NotRun, true, 200 * time.Millisecond},
+		"hasty":     {Kind{Retries: 2, ImmediateRetryShare: 1}, func(w http.ResponseWriter, _ *http.Request) { shed(w) }, 2, sycamorerun.NotRun, true, 0},
 		"broken":    {Kind{Retries: 2}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 2, sycamorerun.Unknown, true, 0},
 		"run once":  {Kind{Retries: 2, AtMostOnce: true}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, 1, sycamorerun.Unknown, false, 0},
 		"truncated": {Kind{Response: 9}, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("short")) }, 1, sycamorerun.Answered, false, 0},
@@ -104,7 +104,7 @@
 				is.Equal(record.Attempts[0].Result, test.result)
 				is.Equal(record.Attempts[0].Disconnected, test.kind.DisconnectShare > 0)
 				is.Equal(record.Served(), test.served)
-				is.True(record.Latency() >= test.least)
+				is.True(record.Latency() >= test.minLatency)
 				is.True(!record.Attempts[0].Start.Before(record.Start))
 			}
 			summary := c.Summarize(time.Time{}, time.Now())[0]
@@ -114,13 +114,13 @@
 	}
 }
 
-// Guards against a version that is read as another one.
+// Guards against deadlines that are decoded as another version.
 func TestMarker(t *testing.T) {
 	for _, version := range []int{1, 2, MaxMarkerVersion} {
 		is := is.New(t)
-		least := MarkerTimeout(version) - markerStep + time.Millisecond
+		shortest := MarkerTimeout(version) - markerStep + time.Millisecond
 		is.True(MarkerTimeout(version) <= time.Hour)
 		is.Equal(versionOf(int(MarkerTimeout(version).Milliseconds())), version)
-		is.Equal(versionOf(int(least.Milliseconds())), version)
+		is.Equal(versionOf(int(shortest.Milliseconds())), version)
 	}
 }
--- a/bench/caller/kind.go
+++ b/bench/caller/kind.go
@@ -10,60 +10,62 @@
 	"github.com/pkg/errors"
 )
 
-// Entry is a node that callers use.
+// Entry is a node to which callers send requests.
 type Entry struct {
 	Name    string
 	Zone    string
 	Address netip.AddrPort
 }
 
-// Kind is a kind of requests.
+// Kind describes requests with the same properties.
 type Kind struct {
 	Name string
 	// Rate is in requests per second over all entries.
 	Rate float64
-	// Zones limit the entries; empty: all.
+	// Zones limits the entries to those in the zones; if empty, all are used.
 	Zones []string
-	// Method is POST if empty. Path has a prefix of the route; the stand-in
-	// upstream takes the rest from the query.
+	// Method defaults to POST. Path is a prefix of the route; the query tells the
+	// stand-in upstream how to run the request.
 	Method, Host, Path string
-	// Work is the time for which the upstream runs the request.
+	// Work is the execution time at the upstream.
 	Work time.Duration
-	// Body and Response are the bytes of the bodies; a body has at least the
-	// request's id. Chunked sends the body without its length.
+	// Body and Response are the sizes of the bodies in bytes; a request body has at
+	// least the id. Chunked sends the request without Content-Length.
 	Body, Response int
 	Chunked        bool
-	// Objective is the response time that the kind aims at.
+	// Objective is the target response time.
 	Objective time.Duration
-	// Deadline is sent in the product's header, unless it is zero.
+	// Deadline is sent in the deadline header unless it is zero.
 	Deadline time.Duration
-	// Timeout is that of the route.
+	// Timeout is the timeout of the route.
 	Timeout time.Duration
-	// Retries is the number of attempts after the first one. Once says that the
-	// request must not run twice: it is tried again only after "not run".
+	// Retries is the number of attempts after the first one. AtMostOnce marks
+	// requests that must not run twice; they are retried only after "not run".
 	Retries    int
 	AtMostOnce bool
-	// Key sends the request's id as idempotency key and as the id of all its
-	// attempts, so that a request with Once may be tried again in any case.
+	// Key sends the request's id as the idempotency key and uses it as the id of all
+	// attempts, so that an AtMostOnce request may be retried after any result.
 	Key bool
 	// RotateNodes sends each retry to the next node of the kind.
 	RotateNodes bool
-	// ImmediateRetryShare is the share of requests whose retries ignore Retry-After, DisconnectShare
-	// the share whose caller disconnects before its deadline.
+	// ImmediateRetryShare is the share of requests whose retries ignore Retry-After,
+	// DisconnectShare the share whose caller disconnects before its deadline.
 	ImmediateRetryShare, DisconnectShare float64
-	// Marker says that the route's timeout is the Marker of a version.
+	// Marker says that the timeout of the route is a MarkerTimeout, so that responses
+	// show the version of the settings.
 	Marker bool
 }
 
-// Burst multiplies the rate of a kind for a span.
+// Burst multiplies the rate of a kind for a limited time.
 type Burst struct {
-	// Kind is empty for all kinds.
+	// Kind is the name of a kind; if empty, the burst applies to all kinds.
 	Kind    string
 	At, For time.Duration
 	Factor  float64
 }
 
-// limit is the time after which the caller of an attempt must be answered.
+// limit returns the time within which an attempt must get a response, or 0 if
+// there is no limit.
 func (k Kind) limit() time.Duration {
 	switch {
 	case k.Marker:
@@ -74,7 +76,7 @@
 	return k.Timeout
 }
 
-// method returns the method of the requests.
+// method returns the HTTP method of the requests.
 func (k Kind) method() string {
 	if k.Method == "" {
 		return http.MethodPost
@@ -87,31 +89,31 @@
 	return fmt.Sprintf("%s/run?for=%s&size=%d&bytes=%d", strings.TrimSuffix(k.Path, "/"), k.Work, k.Response, bytes)
 }
 
-// verify reports the first fault of the callers' description.
+// verify returns an error for the first invalid field of c.
 func (c *Generator) verify() error {
 	if strings.ContainsAny(c.Name, " \n") {
-		return errors.Errorf("name %q of the callers has spaces", c.Name)
+		return errors.Errorf("generator name %q contains a space or newline", c.Name)
 	}
 	if len(c.Entries) == 0 {
-		return errors.New("callers have no entry")
+		return errors.New("generator has no entries")
 	}
 	names := map[string]bool{}
 	for _, kind := range c.Kinds {
 		switch {
 		case kind.Name == "" || names[kind.Name] || strings.ContainsAny(kind.Name, " \n"):
-			return errors.Errorf("kind %q: the name must be unique and without spaces", kind.Name)
+			return errors.Errorf("kind %q: the name must be non-empty, unique and without spaces", kind.Name)
 		case kind.Rate <= 0 || kind.Retries < 0 || kind.Body < 0 || kind.Response < 0:
-			return errors.Errorf("kind %s: the rate must be positive, the other numbers not negative", kind.Name)
+			return errors.Errorf("kind %s: the rate must be positive and the other numbers must not be negative", kind.Name)
 		case kind.ImmediateRetryShare < 0 || kind.ImmediateRetryShare > 1 || kind.DisconnectShare < 0 || kind.DisconnectShare > 1:
-			return errors.Errorf("kind %s: shares must be 0 to 1", kind.Name)
+			return errors.Errorf("kind %s: shares must be between 0 and 1", kind.Name)
 		case len(c.entries(kind)) == 0:
-			return errors.Errorf("kind %s: no entry in its zones", kind.Name)
+			return errors.Errorf("kind %s: no entry is in the zones of the kind", kind.Name)
 		}
 		names[kind.Name] = true
 	}
 	for i, burst := range c.Bursts {
 		if burst.Factor < 0 || burst.At < 0 || burst.For < 0 || burst.Kind != "" && !names[burst.Kind] {
-			return errors.Errorf("burst %d: a known kind and numbers that are not negative are needed", i)
+			return errors.Errorf("burst %d: the kind must exist and the numbers must not be negative", i)
 		}
 	}
 	return nil
--- a/bench/caller/record.go
+++ b/bench/caller/record.go
@@ -7,46 +7,46 @@
 	"sycamorerun"
 )
 
-// Record is one request of a caller with its attempts.
+// Record is the record of one request and its attempts.
 type Record struct {
 	ID, Kind, Zone string
-	// AtMostOnce says that the request must not run twice.
+	// AtMostOnce marks a request that must not run twice.
 	AtMostOnce bool
-	// Objective is the response time that the kind aims at.
+	// Objective is the target response time of the kind.
 	Objective time.Duration
-	// Start is when the request was due, whenever it was sent.
+	// Start is the time when the request was due, even if it was sent later.
 	Start, End time.Time
 	Attempts   []Attempt
 }
 
-// Attempt is one try of a request and what the caller saw.
+// Attempt is one attempt of a request and its outcome as the caller saw it.
 type Attempt struct {
 	ID         string
 	Node       string
 	Start, End time.Time
-	// Limit is the time after which the caller must have been told something;
-	// zero: none.
+	// Limit is the time within which the caller must get a response, or zero for no
+	// limit.
 	Limit  time.Duration
 	Status int
 	Result sycamorerun.Result
-	// Reason is the node's reason, or the caller's own error.
+	// Reason is the reason that the node stated, or the error of the HTTP client.
 	Reason string
-	// Whole says that the response was complete and the caller's own.
+	// Whole says that the response was complete and belonged to this attempt.
 	Whole bool
-	// Disconnected says that the caller disconnected before it was told anything.
+	// Disconnected says that the caller disconnected before it got a response.
 	Disconnected bool
-	// Version is the marker of the configuration in force where the request
-	// entered, zero if the kind does not show it.
+	// Version is the version of the settings in effect at the node that received the
+	// request, or zero if the response does not show it.
 	Version int
 }
 
-// Answered reports whether the attempt brought a response of the upstream other
-// than an error status.
+// Answered reports whether the attempt got a response with status 200 from the
+// upstream.
 func (a Attempt) Answered() bool {
 	return a.Result == sycamorerun.Answered && a.Status == http.StatusOK
 }
 
-// Served reports whether an attempt was answered with a whole response.
+// Served reports whether an attempt got a complete response.
 func (r Record) Served() bool {
 	for _, attempt := range r.Attempts {
 		if attempt.Answered() && attempt.Whole {
@@ -56,5 +56,5 @@
 	return false
 }
 
-// Latency counts from the time at which the request was due.
+// Latency returns the time from when the request was due until it ended.
 func (r Record) Latency() time.Duration { return r.End.Sub(r.Start) }
--- a/bench/caller/schedule.go
+++ b/bench/caller/schedule.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// leaveDefault bounds the time to an early disconnection where the kind has no
-// limit of its own.
-const leaveDefault = time.Second
+// defaultDisconnectLimit bounds the time to an early disconnection for kinds
+// without a limit.
+const defaultDisconnectLimit = time.Second
 
-// request is one request as planned.
-type request struct {
-	id    string
-	due   time.Duration
-	entry int
-	hasty bool
-	// leave is the time from its first attempt to the disconnection, 0 if the
-	// caller stays.
-	leave time.Duration
+// plannedRequest is one request of the schedule.
+type plannedRequest struct {
+	id             string
+	due            time.Duration
+	entry          int
+	immediateRetry bool
+	// disconnectAfter is the time from the start of the first attempt until the
+	// caller disconnects, or 0 if the caller waits for the response.
+	disconnectAfter time.Duration
 }
 
-// entries returns the nodes that a kind uses.
+// entries returns the nodes that receive the requests of a kind.
 func (c *Generator) entries(kind Kind) []Entry {
 	if len(kind.Zones) == 0 {
 		return c.Entries
@@ -31,7 +31,7 @@
 	return slices.DeleteFunc(slices.Clone(c.Entries), func(e Entry) bool { return !slices.Contains(kind.Zones, e.Zone) })
 }
 
-// rate returns the rate of a kind at a time.
+// rate returns the request rate of a kind at a time of the run.
 func (c *Generator) rate(kind Kind, at time.Duration) float64 {
 	rate := kind.Rate
 	for _, burst := range c.Bursts {
@@ -42,8 +42,9 @@
 	return rate
 }
 
-// change returns the next time after at at which a burst begins or ends.
-func (c *Generator) change(at, end time.Duration) time.Duration {
+// nextRateChange returns the first time after at when a burst begins or ends, at
+// most end.
+func (c *Generator) nextRateChange(at, end time.Duration) time.Duration {
 	next := end
 	for _, burst := range c.Bursts {
 		for _, edge := range []time.Duration{burst.At, burst.At + burst.For} {
@@ -55,42 +56,42 @@
 	return next
 }
 
-// schedule returns the requests of the kind with a number. The times between
-// them are exponentially distributed, as those of independent callers. The
-// seed, the kinds and the bursts fix all of it.
-func (c *Generator) schedule(number int, duration time.Duration) iter.Seq[request] {
+// schedule returns the requests of the kind with a number. Their interarrival
+// times are exponentially distributed, as those of independent callers. The
+// schedule depends only on the seed, the kinds and the bursts.
+func (c *Generator) schedule(number int, duration time.Duration) iter.Seq[plannedRequest] {
 	kind := c.Kinds[number]
 	entries := len(c.entries(kind))
-	return func(yield func(request) bool) {
+	return func(yield func(plannedRequest) bool) {
 		random := rand.New(rand.NewPCG(c.Seed, uint64(number)))
 		at, count := time.Duration(0), 0
-		// share is the part of the way to the next request that is left: a change
-		// of the rate in between stretches or shortens it.
-		share := random.ExpFloat64()
+		// remaining is the rest of the interarrival time in units of its mean, so that
+		// a change of the rate stretches or shortens it.
+		remaining := random.ExpFloat64()
 		for at < duration {
-			rate, edge := c.rate(kind, at), c.change(at, duration)
-			passed := (edge - at).Seconds() * rate
-			if share > passed || rate == 0 {
-				share -= passed
+			rate, edge := c.rate(kind, at), c.nextRateChange(at, duration)
+			untilEdge := (edge - at).Seconds() * rate
+			if remaining > untilEdge || rate == 0 {
+				remaining -= untilEdge
 				at = edge
 				continue
 			}
-			at += max(1, time.Duration(share/rate*float64(time.Second)))
-			next := request{id: fmt.Sprintf("%s%s-%d", c.Name, kind.Name, count), due: at, entry: random.IntN(entries)}
+			at += max(1, time.Duration(remaining/rate*float64(time.Second)))
+			planned := plannedRequest{id: fmt.Sprintf("%s%s-%d", c.Name, kind.Name, count), due: at, entry: random.IntN(entries)}
 			if kind.Marker {
-				next.entry = count % entries // Each node is asked equally often.
+				planned.entry = count % entries // Each node gets the same number of requests.
 			}
-			next.hasty = random.Float64() < kind.ImmediateRetryShare
+			planned.immediateRetry = random.Float64() < kind.ImmediateRetryShare
 			if random.Float64() < kind.DisconnectShare {
 				limit := kind.limit()
 				if limit == 0 {
-					limit = leaveDefault
+					limit = defaultDisconnectLimit
 				}
-				next.leave = max(1, time.Duration(random.Float64()*float64(limit)))
+				planned.disconnectAfter = max(1, time.Duration(random.Float64()*float64(limit)))
 			}
-			share = random.ExpFloat64()
+			remaining = random.ExpFloat64()
 			count++
-			if !yield(next) {
+			if !yield(planned) {
 				return
 			}
 		}
--- a/bench/caller/stall.go
+++ b/bench/caller/stall.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// stallTick is how often the callers look at the clock, stallLeast how much
-	// later than asked for counts as a stall.
-	stallTick  = 10 * time.Millisecond
-	stallLeast = 100 * time.Millisecond
+	// stallCheckInterval is the interval between checks of the clock. A check that
+	// is late by more than minStall counts as a stall.
+	stallCheckInterval = 10 * time.Millisecond
+	minStall           = 100 * time.Millisecond
 )
 
-// Stall is a time in which the callers' own process did not run. What seems late
-// then may have been in time.
+// Stall is an interval in which the process of the callers did not run. A response
+// that seems late in it may have arrived in time.
 type Stall struct {
 	From, To time.Time
 }
 
-// Stalls returns the stalls of the run.
+// Stalls returns the stalls recorded so far.
 func (c *Generator) Stalls() []Stall {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.stalls[:len(c.stalls):len(c.stalls)]
 }
 
-// watch records stalls until ctx ends.
-func (c *Generator) watch(ctx context.Context) {
+// detectStalls records stalls until ctx ends.
+func (c *Generator) detectStalls(ctx context.Context) {
 	for last := time.Now(); ctx.Err() == nil; {
-		time.Sleep(stallTick)
+		time.Sleep(stallCheckInterval)
 		now := time.Now()
-		if now.Sub(last) > stallTick+stallLeast {
+		if now.Sub(last) > stallCheckInterval+minStall {
 			c.mutex.Lock()
 			c.stalls = append(c.stalls, Stall{last, now})
 			c.mutex.Unlock()
