--- a/bench/mixer/judge_test.go
+++ b/bench/mixer/judge_test.go
@@ -9,16 +9,16 @@
 	"sycamorerun"
 )
 
-// Guards against a judge that lets a broken promise pass.
+// Guards against violations that the judge misses and against false findings.
 func TestJudge(t *testing.T) {
 	answered := Attempt{Result: sycamorerun.Answered, Status: http.StatusOK, Whole: true}
 	notRun := Attempt{Result: sycamorerun.NotRun, Status: http.StatusServiceUnavailable}
 	unknown := Attempt{Result: sycamorerun.Unknown}
 	cases := map[string]struct {
-		kind     Kind
-		told     []Attempt
-		executed int
-		faults   int
+		kind       Kind
+		attempts   []Attempt
+		executed   int
+		violations int
 	}{
 		"answered and ran":                {Order, []Attempt{answered}, 1, 0},
 		"unknown and ran":                 {Order, []Attempt{unknown}, 1, 0},
@@ -37,12 +37,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			item := &Call{Kind: c.kind, ID: "id", Sum: "sum", Attempts: c.told}
+			call := &Call{Kind: c.kind, ID: "id", Sum: "sum", Attempts: c.attempts}
 			records := Records{Runs: map[string]int{"id": c.executed}}
 			if c.kind == Upload && c.executed > 0 {
 				records.Uploads = map[string]int{"sum": c.executed}
 			}
-			is.Equal(len(Judge([]*Call{item}, records)), c.faults)
+			is.Equal(len(Judge([]*Call{call}, records)), c.violations)
 		})
 	}
 	is.New(t).Equal(len(Judge(nil, Records{Uploads: map[string]int{"part": 1}})), 1)
--- a/bench/mixer/workload.go
+++ b/bench/mixer/workload.go
@@ -17,34 +17,35 @@
 
 // Kinds of workloads.
 const (
-	// Status reads and Count lookups are fast and frequent.
+	// Status and Count are fast and frequent reads.
 	Status Kind = "status"
 	Count  Kind = "count"
-	// Order is a booking or a deposit, which must not run twice.
+	// Order is a booking or a deposit, which must not be executed twice.
 	Order Kind = "order"
-	// Upload is a large body that must arrive whole.
+	// Upload has a large request body that must arrive complete.
 	Upload Kind = "upload"
-	// History is a slow pull that must finish.
+	// History is a slow download that must be completed.
 	History Kind = "history"
-	// Sync is the stock sync in the background.
+	// Sync is the stock synchronization in the background.
 	Sync Kind = "sync"
 )
 
-// workload says how callers make the calls of a kind.
+// workload describes the calls of a kind.
 type workload struct {
 	method string
 	host   string
 	path   string
-	// bytes bounds the random body, keyed says that calls have a key.
+	// bytes is the maximum size of the random body. keyed says that calls have an
+	// idempotency key.
 	bytes int
 	keyed bool
-	// single says that every second caller makes one attempt only, so that what
-	// it was told is judged alone.
-	single bool
-	// pause is the time between two calls of a caller, timeout bounds a call.
+	// singleAttempt says that every second caller makes one attempt only, so that
+	// the result of that attempt is judged on its own.
+	singleAttempt bool
+	// pause is the time between two calls of a caller, timeout that of one attempt.
 	pause   time.Duration
 	timeout time.Duration
-	// sum is the hash of the answer, if it is known.
+	// sum is the expected hash of the response body, if it is known.
 	sum string
 }
 
@@ -53,19 +54,20 @@
 	uploadBytes  = 2 << 20
 )
 
-// workloads have a host name for each kind. In a path %s is the item's id,
-// with which the upstream counts an execution. Calls that count one take some
-// time after it, so that failures hit calls that ran and are not answered.
+// workloads has the workload of each kind, with its own host name. In a path, %s is
+// the id of the call, by which the upstream counts executions. Such calls take some
+// time after the upstream counted them, so that failures also hit calls that were
+// executed and not yet answered.
 var workloads = map[Kind]workload{
 	Status:  {method: http.MethodGet, host: "status.example", path: "/book?key=%s&for=5ms", pause: 10 * time.Millisecond, timeout: 3 * time.Second},
 	Count:   {method: http.MethodGet, host: "count.example", path: "/book?key=%s&for=5ms", pause: 10 * time.Millisecond, timeout: 3 * time.Second},
-	Order:   {method: http.MethodPost, host: "order.example", path: "/book?for=100ms", keyed: true, single: true, pause: 10 * time.Millisecond, timeout: 3 * time.Second},
-	Upload:  {method: http.MethodPost, host: "upload.example", path: "/upload", bytes: uploadBytes, single: true, pause: 20 * time.Millisecond, timeout: 8 * time.Second},
+	Order:   {method: http.MethodPost, host: "order.example", path: "/book?for=100ms", keyed: true, singleAttempt: true, pause: 10 * time.Millisecond, timeout: 3 * time.Second},
+	Upload:  {method: http.MethodPost, host: "upload.example", path: "/upload", bytes: uploadBytes, singleAttempt: true, pause: 20 * time.Millisecond, timeout: 8 * time.Second},
 	History: {method: http.MethodGet, host: "history.example", path: fmt.Sprintf("/bytes?size=%d&for=1s", historyBytes), pause: 20 * time.Millisecond, timeout: 8 * time.Second, sum: patternSum(historyBytes)},
 	Sync:    {method: http.MethodGet, host: "sync.example", path: "/slow?for=200ms", timeout: 8 * time.Second},
 }
 
-// patternSum is the hash of the stand-in upstream's pattern.
+// patternSum returns the hash of the byte pattern that the stand-in upstream sends.
 func patternSum(size int) string {
 	pattern := make([]byte, size)
 	for i := range pattern {
@@ -79,7 +81,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// body returns the random body of a call, nil if the kind has none.
+// body returns a random request body, or nil if the kind has none.
 func (w workload) body(random *rand.Rand) []byte {
 	if w.bytes == 0 {
 		return nil
@@ -93,20 +95,20 @@
 	return body
 }
 
-// attempts returns how often a caller makes a call.
-func (w workload) attempts(caller int) int {
-	if w.single && caller%2 == 1 {
+// attemptLimit returns the maximum number of attempts for a call of a caller.
+func (w workload) attemptLimit(caller int) int {
+	if w.singleAttempt && caller%2 == 1 {
 		return 1
 	}
-	return attempts
+	return maxAttempts
 }
 
-// header returns the header of a call.
+// header returns the request header of a call.
 func (w workload) header(id string) http.Header {
 	header := http.Header{}
 	if w.keyed {
-		// http.Transport would repeat a request with the canonical name by itself
-		// and hide what its first attempt was told.
+		// http.Transport would resend a request that has the canonical name of this
+		// header and hide the result of the first attempt.
 		header[strings.ToLower(sycamorerun.HeaderKey)] = []string{id}
 	}
 	return header
@@ -120,15 +122,15 @@
 	return w.path
 }
 
-// whole reports whether an answer is the complete one to the call.
-func (w workload) whole(item *Call, answer []byte) bool {
+// complete reports whether received is the complete response to the call.
+func (w workload) complete(call *Call, received []byte) bool {
 	switch {
 	case w.sum != "":
-		return sumOf(answer) == w.sum
-	case item.Sum != "":
-		return strings.Contains(string(answer), item.Sum)
-	case w.keyed || w.path != w.target(item.ID):
-		return strings.Contains(string(answer), `"`+item.ID+`"`)
+		return sumOf(received) == w.sum
+	case call.Sum != "":
+		return strings.Contains(string(received), call.Sum)
+	case w.keyed || w.path != w.target(call.ID):
+		return strings.Contains(string(received), `"`+call.ID+`"`)
 	}
 	return true
 }
