--- a/bench/generator/generator.go
+++ b/bench/generator/generator.go
@@ -1,6 +1,6 @@
-// Package generator sends calls in an open loop: each call starts at its
-// scheduled time whatever became of the earlier ones, and its latency counts
-// from that time, so that waiting is not hidden.
+// Package generator sends calls in an open loop: each call starts at its scheduled
+// time, whether or not earlier ones have ended, and its latency counts from that
+// time, so that queueing delays are included.
 package generator
 
 import (
@@ -20,15 +20,15 @@
 )
 
 const (
-	// slowest is the largest latency that is recorded.
-	slowest = time.Minute
-	// precision is the number of significant digits of a latency.
-	precision = 3
-	// idleConnections is kept to each target.
+	// maxLatency is the largest latency that the histograms record.
+	maxLatency = time.Minute
+	// significantDigits is the precision of the recorded latencies.
+	significantDigits = 3
+	// idleConnections is the number of idle connections kept to each target.
 	idleConnections = 512
 )
 
-// Target is where a share of the calls goes.
+// Target describes the calls to one address.
 type Target struct {
 	Name    string
 	Address netip.AddrPort
@@ -42,23 +42,23 @@
 	Timeout time.Duration
 }
 
-// Result is what a target's calls showed.
+// Result has the counts and latencies of the calls to a target.
 type Result struct {
 	Target Target
-	// Latency has the answered calls in microseconds.
+	// Latency has the latencies of the answered calls in microseconds.
 	Latency *hdrhistogram.Histogram
-	// Results counts the calls by what the caller was told; an answer without
-	// the header, as from an upstream itself, counts by its status.
+	// Results counts the calls by result. A response without the outcome header,
+	// which comes from the upstream itself, is counted by its status.
 	Results map[sycamorerun.Result]int
-	// Reasons counts the other calls by the reason that the caller was given, if
-	// any.
+	// Reasons counts the calls that were not answered by the stated reason, which may
+	// be empty.
 	Reasons map[string]int
-	// Upstreams counts the answered calls by the upstream that names itself.
+	// Upstreams counts the answered calls by the name of the upstream in the response.
 	Upstreams map[string]int
 	mutex     sync.Mutex
 }
 
-// Calls is the number of calls sent.
+// Calls returns the number of calls that have ended.
 func (r *Result) Calls() int {
 	total := 0
 	for _, count := range r.Results {
@@ -67,8 +67,8 @@
 	return total
 }
 
-// Run sends calls to all targets at once for a duration and waits for the
-// last one to end.
+// Run sends calls to all targets concurrently for a duration and waits until the
+// last one has ended.
 func Run(ctx context.Context, targets []Target, duration time.Duration) []*Result {
 	results := make([]*Result, len(targets))
 	var group sync.WaitGroup
@@ -94,7 +94,7 @@
 func newResult(target Target) *Result {
 	return &Result{
 		Target: target, Results: map[sycamorerun.Result]int{}, Reasons: map[string]int{}, Upstreams: map[string]int{},
-		Latency: hdrhistogram.New(1, slowest.Microseconds(), precision),
+		Latency: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 	}
 }
 
@@ -115,21 +115,21 @@
 	ctx, cancel := context.WithTimeout(ctx, r.Target.Timeout)
 	defer cancel()
 	result, detail := send(ctx, client, r.Target)
-	took := time.Since(due)
+	elapsed := time.Since(due)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.Results[result]++
 	if result == sycamorerun.Answered {
 		r.Upstreams[detail]++
-		// A latency above the histogram's range can't occur within the timeout.
-		_ = r.Latency.RecordValue(max(1, took.Microseconds()))
+		// The timeout keeps latencies within the histogram's range.
+		_ = r.Latency.RecordValue(max(1, elapsed.Microseconds()))
 	} else {
 		r.Reasons[detail]++
 	}
 }
 
-// send returns what the caller is told about one call, and which upstream
-// answered, or why none did.
+// send sends one call and returns its result with the name of the upstream that
+// answered or the reason why none did.
 func send(ctx context.Context, client *http.Client, target Target) (sycamorerun.Result, string) {
 	request, err := http.NewRequestWithContext(ctx, target.Method, "http://"+target.Address.String()+target.Path, bytes.NewReader(target.Body))
 	if err != nil {
@@ -145,11 +145,11 @@
 		return sycamorerun.Unknown, cause(err)
 	}
 	reason := response.Header.Get(sycamorerun.HeaderReason)
-	if told := response.Header.Get(sycamorerun.HeaderOutcome); told != "" && response.StatusCode != http.StatusOK {
-		if told == string(sycamorerun.Answered) {
+	if outcome := response.Header.Get(sycamorerun.HeaderOutcome); outcome != "" && response.StatusCode != http.StatusOK {
+		if outcome == string(sycamorerun.Answered) {
 			return sycamorerun.NotRun, "shed by the upstream"
 		}
-		return sycamorerun.Result(told), reason
+		return sycamorerun.Result(outcome), reason
 	}
 	if response.StatusCode != http.StatusOK {
 		return sycamorerun.NotRun, response.Status
@@ -157,7 +157,7 @@
 	return sycamorerun.Answered, response.Header.Get(server.HeaderUpstream)
 }
 
-// cause says why a caller was given no reason.
+// cause returns the reason for an error of the HTTP client.
 func cause(err error) string {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return "timeout"
--- a/bench/generator/generator_test.go
+++ b/bench/generator/generator_test.go
@@ -14,9 +14,9 @@
 	"sycamorerun/bench/generator"
 )
 
-// Guards against a generator that waits for slow answers and so hides their
-// latency: calls start on schedule although each takes longer than the
-// interval.
+// Guards against a generator that waits for slow responses and so hides their
+// latency (coordinated omission): calls must start on schedule although each takes
+// longer than the interval.
 func TestOpenLoop(t *testing.T) {
 	is := is.New(t)
 	const work = 100 * time.Millisecond
