--- a/bench/relayer/relayer.go
+++ b/bench/relayer/relayer.go
@@ -1,5 +1,6 @@
-// Package relayer forwards TCP connections on loopback and cuts, freezes or
-// delays them, to put failures of the network between real processes.
+// Package relayer forwards TCP connections on loopback and injects network faults
+// between real processes: closed, stalled, delayed, lossy and blackholed
+// connections.
 package relayer
 
 import (
@@ -15,25 +16,25 @@
 	"github.com/pkg/errors"
 )
 
-// Rule says what happens to the traffic from a source.
+// Rule defines the faults that are injected into the traffic from a source.
 type Rule struct {
 	// Cut refuses new connections and closes the open ones.
 	Cut bool
-	// Freeze keeps connections open and forwards nothing.
+	// Freeze keeps connections open and holds back their data.
 	Freeze bool
-	// Delay is added in each direction, and a random part of Jitter.
+	// Delay and a random part of Jitter are added in each direction.
 	Delay  time.Duration
 	Jitter time.Duration
-	// Loss is the fraction of segments that are lost once. They arrive after
-	// Retransmission, or 200 ms if that is zero, and so do those behind them.
+	// Loss is the fraction of segments that are lost once. A lost segment and those
+	// behind it are delayed by Retransmission, or 200 ms if that is zero.
 	Loss           float64
 	Retransmission time.Duration
-	// Blackhole makes the connections that are open when the rule is applied
-	// swallow all traffic for good; new ones work.
+	// Blackhole makes the connections that are open when the rule is applied discard
+	// all traffic permanently. New connections work.
 	Blackhole bool
 }
 
-// delay returns the time that a segment is on its way.
+// delay returns the transit time of a segment.
 func (r Rule) delay() time.Duration {
 	delay := r.Delay
 	if r.Jitter > 0 {
@@ -46,18 +47,18 @@
 }
 
 const (
-	// chunkBytes is the most that is read at once.
+	// chunkBytes is the maximum size of a read.
 	chunkBytes = 32 << 10
-	// pendingChunks bounds what is delayed in one direction of a connection.
+	// pendingChunks limits the delayed chunks in one direction of a connection.
 	pendingChunks = 1024
 	dialTimeout   = time.Second
-	// retransmission is the least timeout of Linux for a segment.
+	// retransmission is the minimum retransmission timeout of Linux.
 	retransmission = 200 * time.Millisecond
-	// segmentBytes is the size of a segment where some are lost.
+	// segmentBytes is the segment size for rules with Loss.
 	segmentBytes = 1448
 )
 
-// Relayer forwards the connections to one listener.
+// Relayer forwards the connections that one listener accepts.
 type Relayer struct {
 	listener net.Listener
 	target   netip.AddrPort
@@ -65,32 +66,34 @@
 	mutex   sync.Mutex
 	changed *sync.Cond
 	rule    func(source netip.Addr) Rule
-	pairs   map[*pair]struct{}
+	conns   map[*forwardedConn]struct{}
 	closed  bool
 }
 
-// pair is a forwarded connection.
-type pair struct {
+// forwardedConn is a forwarded connection: the one of the client and the one to the
+// target.
+type forwardedConn struct {
 	source netip.Addr
-	near   net.Conn
-	far    net.Conn
-	// silent says that the connection swallows all traffic.
-	silent atomic.Bool
+	client net.Conn
+	server net.Conn
+	// blackholed says that the connection discards all traffic.
+	blackholed atomic.Bool
 }
 
-func (p *pair) close() {
-	_ = p.near.Close()
-	_ = p.far.Close()
+func (conn *forwardedConn) close() {
+	_ = conn.client.Close()
+	_ = conn.server.Close()
 }
 
-// New listens on address and forwards to target without faults.
+// New listens on address and forwards connections to target, at first without
+// faults.
 func New(address, target netip.AddrPort) (*Relayer, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
 	r := &Relayer{
-		listener: listener, target: target, pairs: map[*pair]struct{}{},
+		listener: listener, target: target, conns: map[*forwardedConn]struct{}{},
 		rule: func(netip.Addr) Rule { return Rule{} },
 	}
 	r.changed = sync.NewCond(&r.mutex)
@@ -103,78 +106,78 @@
 	return r.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Apply replaces the rule for each source address.
+// Apply replaces the function that returns the rule for a source address.
 func (r *Relayer) Apply(rule func(source netip.Addr) Rule) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.rule = rule
-	for p := range r.pairs {
-		in := rule(p.source)
-		if in.Cut {
-			p.close()
+	for conn := range r.conns {
+		applied := rule(conn.source)
+		if applied.Cut {
+			conn.close()
 		}
-		if in.Blackhole {
-			p.silent.Store(true)
+		if applied.Blackhole {
+			conn.blackholed.Store(true)
 		}
 	}
 	r.changed.Broadcast()
 }
 
-// Close ends the relay and its connections.
+// Close closes the listener and all connections.
 func (r *Relayer) Close() {
 	_ = r.listener.Close()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.closed = true
-	for p := range r.pairs {
-		p.close()
+	for conn := range r.conns {
+		conn.close()
 	}
 	r.changed.Broadcast()
 }
 
 func (r *Relayer) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.forward(near)
+		go r.forward(client)
 	}
 }
 
-func (r *Relayer) forward(near net.Conn) {
-	source := near.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
+func (r *Relayer) forward(client net.Conn) {
+	source := client.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	if r.ruleFor(source).Cut {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	far, err := net.DialTimeout("tcp", r.target.String(), dialTimeout)
+	server, err := net.DialTimeout("tcp", r.target.String(), dialTimeout)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	p := &pair{source: source, near: near, far: far}
-	if !r.add(p) {
-		p.close()
+	conn := &forwardedConn{source: source, client: client, server: server}
+	if !r.add(conn) {
+		conn.close()
 		return
 	}
 	var directions sync.WaitGroup
-	directions.Go(func() { r.copy(p, far, near) })
-	directions.Go(func() { r.copy(p, near, far) })
+	directions.Go(func() { r.copy(conn, server, client) })
+	directions.Go(func() { r.copy(conn, client, server) })
 	directions.Wait()
-	p.close()
+	conn.close()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.pairs, p)
+	delete(r.conns, conn)
 }
 
-func (r *Relayer) add(p *pair) bool {
+func (r *Relayer) add(conn *forwardedConn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.closed || r.rule(p.source).Cut {
+	if r.closed || r.rule(conn.source).Cut {
 		return false
 	}
-	r.pairs[p] = struct{}{}
+	r.conns[conn] = struct{}{}
 	return true
 }
 
@@ -184,21 +187,22 @@
 	return r.rule(source)
 }
 
-// chunk is data on its way with the time at which it arrives.
+// chunk is delayed data with the time at which it is due at the receiver.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// copy forwards one direction. The end of the stream passes as a half close.
-func (r *Relayer) copy(p *pair, to, from net.Conn) {
+// copy forwards one direction of a connection. The end of the stream is forwarded
+// as a half close.
+func (r *Relayer) copy(conn *forwardedConn, to, from net.Conn) {
 	chunks := make(chan chunk, pendingChunks)
 	go func() {
 		defer close(chunks)
 		for {
 			buffer := make([]byte, chunkBytes)
 			n, err := from.Read(buffer)
-			rule := r.ruleFor(p.source)
+			rule := r.ruleFor(conn.source)
 			size := chunkBytes
 			if rule.Loss > 0 {
 				size = segmentBytes
@@ -213,24 +217,24 @@
 	}()
 	for c := range chunks {
 		time.Sleep(time.Until(c.due))
-		r.waitThawed(p)
-		if p.silent.Load() {
+		r.waitWhileFrozen(conn)
+		if conn.blackholed.Load() {
 			continue
 		}
 		if _, err := to.Write(c.data); err != nil {
 			_ = from.Close()
 		}
 	}
-	if half, ok := to.(*net.TCPConn); ok && !p.silent.Load() {
-		_ = half.CloseWrite()
+	if tcp, ok := to.(*net.TCPConn); ok && !conn.blackholed.Load() {
+		_ = tcp.CloseWrite()
 	}
 }
 
-// waitThawed blocks while the source's traffic is frozen.
-func (r *Relayer) waitThawed(p *pair) {
+// waitWhileFrozen blocks while the traffic of the source is frozen.
+func (r *Relayer) waitWhileFrozen(conn *forwardedConn) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for r.rule(p.source).Freeze && !r.closed {
+	for r.rule(conn.source).Freeze && !r.closed {
 		r.changed.Wait()
 	}
 }
--- a/bench/relayer/relayer_test.go
+++ b/bench/relayer/relayer_test.go
@@ -13,7 +13,7 @@
 	"sycamorerun/bench/relayer"
 )
 
-// echo starts a server that returns what it gets.
+// echo starts an echo server and returns its address.
 func echo(t *testing.T) netip.AddrPort {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,8 +35,8 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func exchange(conn net.Conn, wait time.Duration) error {
-	_ = conn.SetDeadline(time.Now().Add(wait))
+func exchange(conn net.Conn, timeout time.Duration) error {
+	_ = conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return err
 	}
@@ -44,7 +44,8 @@
 	return err
 }
 
-// Guards against tests that pass because a fault was never in place.
+// Guards against rules without an effect, with which tests of faults would pass
+// without any fault.
 func TestRules(t *testing.T) {
 	is := is.New(t)
 	r, err := relayer.New(netip.MustParseAddrPort("127.0.0.1:0"), echo(t))
@@ -67,14 +68,14 @@
 
 	r.Apply(func(netip.Addr) relayer.Rule { return relayer.Rule{Cut: true} })
 	is.True(exchange(conn, 5*time.Second) != nil)
-	again, err := net.Dial("tcp", r.Address().String())
+	reconnected, err := net.Dial("tcp", r.Address().String())
 	if err == nil {
-		is.True(exchange(again, 5*time.Second) != nil)
+		is.True(exchange(reconnected, 5*time.Second) != nil)
 	}
 }
 
-// Guards against a silence that also hits new connections or ends with the
-// rule, and against losses and jitter that reorder data or delay nothing.
+// Guards against a blackhole rule that also affects new connections or ends with the
+// rule, and against loss and jitter that reorder data or add no delay.
 func TestLinks(t *testing.T) {
 	is := is.New(t)
 	r, err := relayer.New(netip.MustParseAddrPort("127.0.0.1:0"), echo(t))
