--- a/bench/observer/observer.go
+++ b/bench/observer/observer.go
@@ -1,4 +1,5 @@
-// Package observer follows the versions that processes log as applied.
+// Package observer records from the logs of processes when each version of the
+// settings was applied.
 package observer
 
 import (
@@ -11,16 +12,16 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// AppliedMessage is the event that a node logs when a version is in force.
+// AppliedMessage is the message that a node logs when it has applied a version.
 const AppliedMessage = "configuration applied"
 
-// Observer collects when each process applied each version.
+// Observer records when each process applied each version.
 type Observer struct {
 	mutex   sync.Mutex
 	applied map[uint64]map[string]time.Time
 	highest map[string]uint64
-	// Backward lists processes that went back to an older version.
-	backward []string
+	// regressions lists the processes that applied an older version after a newer one.
+	regressions []string
 }
 
 // New returns an empty Observer.
@@ -28,9 +29,9 @@
 	return &Observer{applied: map[uint64]map[string]time.Time{}, highest: map[string]uint64{}}
 }
 
-// HandleLine reads one key=value line of a process; other lines are passed over.
+// HandleLine handles one logfmt line of a process and ignores other messages.
 func (o *Observer) HandleLine(process, line string) {
-	var message, stamp, version string
+	var message, timestamp, version string
 	decoder := logfmt.NewDecoder(bytes.NewBufferString(line))
 	for decoder.ScanRecord() {
 		for decoder.ScanKeyval() {
@@ -38,7 +39,7 @@
 			case "msg":
 				message = string(decoder.Value())
 			case "ts":
-				stamp = string(decoder.Value())
+				timestamp = string(decoder.Value())
 			case "version":
 				version = string(decoder.Value())
 			}
@@ -51,7 +52,7 @@
 	if err != nil {
 		return
 	}
-	at, err := time.Parse(time.RFC3339Nano, stamp)
+	at, err := time.Parse(time.RFC3339Nano, timestamp)
 	if err != nil {
 		return
 	}
@@ -62,40 +63,42 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if version < o.highest[process] {
-		o.backward = append(o.backward, process)
+		o.regressions = append(o.regressions, process)
 	}
-	// A node that catches up from a snapshot has every version up to it.
-	for passed := o.highest[process] + 1; passed <= version; passed++ {
-		if o.applied[passed] == nil {
-			o.applied[passed] = map[string]time.Time{}
+	// A node that catches up from a snapshot has applied every version up to it.
+	for v := o.highest[process] + 1; v <= version; v++ {
+		if o.applied[v] == nil {
+			o.applied[v] = map[string]time.Time{}
 		}
-		// A process that starts again applies what it had before.
-		if _, known := o.applied[passed][process]; !known {
-			o.applied[passed][process] = at
+		// A restarted process applies the versions again; the first time counts.
+		if _, known := o.applied[v][process]; !known {
+			o.applied[v][process] = at
 		}
 	}
 	o.highest[process] = max(o.highest[process], version)
 }
 
-// Forget drops what a process applied, before it starts again.
+// Forget resets the highest version of a process. It must be called before the
+// process is restarted, since that may apply older versions again.
 func (o *Observer) Forget(process string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	delete(o.highest, process)
 }
 
-// Count returns how many processes have applied version.
+// Count returns the number of processes that have applied version.
 func (o *Observer) Count(version uint64) int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return len(o.applied[version])
 }
 
-// Regressions returns the processes that went back to an older version.
+// Regressions returns the processes that applied an older version after a newer
+// one.
 func (o *Observer) Regressions() []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return append([]string{}, o.backward...)
+	return append([]string{}, o.regressions...)
 }
 
 // Times returns when each process applied a version for the first time.
@@ -105,8 +108,8 @@
 	return maps.Clone(o.applied[version])
 }
 
-// Delays returns, for a version, how long after its first application each
-// other process applied it.
+// Delays returns for each process how long after the first process it applied
+// version. The delay of the first process is 0.
 func (o *Observer) Delays(version uint64) []time.Duration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
