--- a/bench/scraper/scraper.go
+++ b/bench/scraper/scraper.go
@@ -1,4 +1,4 @@
-// Package scraper reads counters from a process's metrics endpoint.
+// Package scraper reads the samples of a process's metrics endpoint.
 package scraper
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/pkg/errors"
 )
 
-// Sample is one metric with its labels as they are written.
+// Sample is one sample of a metric. Labels has the text between the braces.
 type Sample struct {
 	Name   string
 	Labels string
 	Value  float64
 }
 
-// Scrape returns the samples of the process at address.
+// Scrape returns the samples of the metrics endpoint at address.
 func Scrape(ctx context.Context, address netip.AddrPort) ([]Sample, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/metrics", nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "scrape")
+		return nil, errors.Wrap(err, "scrape metrics")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "scrape")
+		return nil, errors.Wrap(err, "scrape metrics")
 	}
 	defer response.Body.Close()
 	var samples []Sample
@@ -37,10 +37,10 @@
 			samples = append(samples, sample)
 		}
 	}
-	return samples, errors.Wrap(lines.Err(), "scrape")
+	return samples, errors.Wrap(lines.Err(), "scrape metrics")
 }
 
-// parse reads a line such as `name{label="x"} 12`.
+// parse parses a line such as `name{label="x"} 12`.
 func parse(line string) (Sample, bool) {
 	if strings.HasPrefix(line, "#") {
 		return Sample{}, false
@@ -57,7 +57,7 @@
 	return Sample{Name: name, Labels: strings.TrimSuffix(labels, "}"), Value: value}, true
 }
 
-// Sum adds the samples with the name whose labels contain every part.
+// Sum returns the sum of the samples with the name whose labels contain all parts.
 func Sum(samples []Sample, name string, parts ...string) float64 {
 	total := 0.0
 	for _, s := range samples {
