--- a/bench/relayer/relayer.go
+++ b/bench/relayer/relayer.go
@@ -90,7 +90,7 @@
 func New(address, target netip.AddrPort) (*Relayer, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "relay")
+		return nil, errors.Wrap(err, "open relay listener")
 	}
 	r := &Relayer{
 		listener: listener, target: target, conns: map[*forwardedConn]struct{}{},
