--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -1,6 +1,6 @@
-// Package deployer starts a small fleet on loopback for tests and
-// measurements: the stand-in store, nodes in availability zones with upstreams
-// beside them, and relays between them for failures of the network.
+// Package deployer starts a small fleet on loopback for tests and measurements: the
+// stand-in store, nodes in availability zones with an upstream beside each, and
+// relays between them that inject network faults.
 package deployer
 
 import (
@@ -39,7 +39,7 @@
 	certificateAge = 24 * time.Hour
 )
 
-// Node is one node of the fleet with its upstream.
+// Node is a node of the fleet with the upstream beside it.
 type Node struct {
 	Name      string
 	Zone      Zone
@@ -47,7 +47,8 @@
 	Callers   netip.AddrPort
 	Operators netip.AddrPort
 	Peers     netip.AddrPort
-	// Upstream and Control are the addresses of the upstream beside it.
+	// Upstream and Control are the listeners of the upstream for requests and for its
+	// control API.
 	Upstream netip.AddrPort
 	Control  netip.AddrPort
 
@@ -57,73 +58,75 @@
 	args []string
 }
 
-// Fleet is a running fleet.
+// Fleet is a fleet of processes on loopback.
 type Fleet struct {
 	Spec     Spec
 	Nodes    []*Node
 	Observer *observer.Observer
 	Store    *launcher.Process
 
-	guard      net.Listener
-	launcher   *launcher.Launcher
-	storeAt    netip.AddrPort
-	nodeRelays map[string]*relayer.Relayer
-	zoneRelays map[string]*relayer.Relayer
-	tokens     map[string]string
-	adminHash  string
-
-	mutex sync.Mutex
-	logs  map[string]*os.File
-	// cut holds the zones that are cut off from all others and the store.
-	cut map[string]bool
-	// frozen holds the zones whose open connections stand still.
+	reservation  net.Listener
+	launcher     *launcher.Launcher
+	storeAddress netip.AddrPort
+	nodeRelays   map[string]*relayer.Relayer
+	zoneRelays   map[string]*relayer.Relayer
+	tokens       map[string]string
+	adminHash    string
+
+	mutex    sync.Mutex
+	logFiles map[string]*os.File
+	// partitioned has the zones that are cut off from all others and the store.
+	partitioned map[string]bool
+	// frozen has the zones whose connections stay open without forwarding data.
 	frozen map[string]bool
-	// silent holds the zones whose open connections are just made silent, degraded
+	// blackholed has the zones whose open connections are being blackholed, degraded
 	// the added jitter and loss of zones.
-	silent   map[string]bool
-	degraded map[string]relayer.Rule
-	// apart holds the pairs of zones that are cut off from each other alone.
-	apart map[[2]string]bool
+	blackholed map[string]bool
+	degraded   map[string]relayer.Rule
+	// separated has the pairs of zones that are cut off from each other only.
+	separated map[[2]string]bool
 }
 
-// New prepares a fleet; nothing runs before Start.
+// New returns a fleet with a reserved network and TLS keys. Start starts its
+// processes.
 func New(spec Spec) (*Fleet, error) {
-	guard, err := spec.reserve()
+	reservation, err := spec.reserveNetwork()
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{
-		guard: guard,
-		Spec:  spec, Observer: observer.New(), storeAt: spec.address(0, 1, portStore),
+		reservation: reservation,
+		Spec:        spec, Observer: observer.New(), storeAddress: spec.address(0, 1, portStore),
 		nodeRelays: map[string]*relayer.Relayer{}, zoneRelays: map[string]*relayer.Relayer{},
-		tokens: map[string]string{}, logs: map[string]*os.File{}, cut: map[string]bool{}, frozen: map[string]bool{}, apart: map[[2]string]bool{},
-		silent: map[string]bool{}, degraded: map[string]relayer.Rule{},
+		tokens: map[string]string{}, logFiles: map[string]*os.File{}, partitioned: map[string]bool{}, frozen: map[string]bool{}, separated: map[[2]string]bool{},
+		blackholed: map[string]bool{}, degraded: map[string]relayer.Rule{},
 	}
 	f.tokens["admin"], f.adminHash = issuer.Token()
-	f.launcher = &launcher.Launcher{Binaries: spec.Binaries, HandleLine: f.line}
+	f.launcher = &launcher.Launcher{Binaries: spec.Binaries, HandleLine: f.handleLine}
 	err = issuer.Keys(time.Now(), filepath.Join(spec.Directory, "keys"), issuer.Request{
 		Names: []string{"sycamorerun"}, Lifetime: certificateAge, Addresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 	})
-	return f, errors.Wrap(err, "make keys")
+	return f, errors.Wrap(err, "issue TLS keys")
 }
 
-// line takes a line that a process logged.
-func (f *Fleet) line(process, line string) {
+// handleLine passes a log line of a process to the observer and writes it to the log
+// file of the process.
+func (f *Fleet) handleLine(process, line string) {
 	f.Observer.HandleLine(process, line)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	file := f.logs[process]
+	file := f.logFiles[process]
 	if file == nil {
 		var err error
 		if file, err = os.Create(filepath.Join(f.Spec.Directory, process+".log")); err != nil {
 			return
 		}
-		f.logs[process] = file
+		f.logFiles[process] = file
 	}
 	fmt.Fprintln(file, line)
 }
 
-// Start starts the store and all nodes and waits until they are ready.
+// Start starts the store and all nodes and waits until the nodes are ready.
 func (f *Fleet) Start(ctx context.Context) error {
 	if err := f.StartStore(ctx); err != nil {
 		return err
@@ -135,7 +138,7 @@
 	}
 	for z, zone := range f.Spec.Zones {
 		for n := range zone.Nodes {
-			node, err := f.prepare(z, n, zone)
+			node, err := f.prepareNode(z, n, zone)
 			if err != nil {
 				return err
 			}
@@ -150,16 +153,16 @@
 	return f.WaitReady(ctx, f.Nodes...)
 }
 
-// StartStore starts the stand-in store; all objects of an earlier one are gone.
+// StartStore starts the stand-in store, which is empty after each start.
 func (f *Fleet) StartStore(ctx context.Context) error {
 	var err error
-	f.Store, err = f.launcher.Start(ctx, "store", "srstore", "--listen", f.storeAt.String())
+	f.Store, err = f.launcher.Start(ctx, "store", "srstore", "--listen", f.storeAddress.String())
 	return err
 }
 
 func (f *Fleet) startZoneRelays() error {
 	for z, zone := range f.Spec.Zones {
-		relay, err := relayer.New(f.Spec.address(uint8(z+1), hostStore, portStore), f.storeAt)
+		relay, err := relayer.New(f.Spec.address(uint8(z+1), hostStore, portStore), f.storeAddress)
 		if err != nil {
 			return err
 		}
@@ -169,8 +172,9 @@
 	return nil
 }
 
-// prepare lays out node n of zone z.
-func (f *Fleet) prepare(z, n int, zone Zone) (*Node, error) {
+// prepareNode returns node n of zone z with its addresses and arguments, and starts
+// its relay.
+func (f *Fleet) prepareNode(z, n int, zone Zone) (*Node, error) {
 	number, host := uint8(z+1), uint8(n+1)
 	service := ""
 	if len(zone.Services) > 0 {
@@ -187,7 +191,7 @@
 		Upstream:  f.Spec.address(number, host, portUpstream),
 		Control:   f.Spec.address(number, host, portControl),
 	}
-	store := f.storeAt
+	store := f.storeAddress
 	announced := node.Peers
 	if f.Spec.Relays {
 		relay, err := relayer.New(f.Spec.address(number, host, portRelay), node.Peers)
@@ -211,7 +215,8 @@
 	return node, nil
 }
 
-// StartNode starts a node and its upstream, again after a Kill as well.
+// StartNode starts a node, also after it was killed, and its upstream unless that
+// was started before.
 func (f *Fleet) StartNode(ctx context.Context, node *Node) error {
 	f.Observer.Forget(node.Name)
 	var err error
@@ -230,42 +235,42 @@
 	node.UpstreamProcess, err = f.launcher.Start(ctx, node.Name+"-upstream", "srupstream", append([]string{
 		"--name", node.Name, "--service", node.Service, "--listen", node.Upstream.String(),
 		"--control", node.Control.String(), "--node", node.Operators.String(),
-		"--callers", node.Callers.String(), "--journal", f.journal(node),
+		"--callers", node.Callers.String(), "--journal", f.journalPath(node),
 	}, slices.Concat(f.Spec.UpstreamArgs, f.Spec.ServiceArgs[node.Service])...)...)
 	return err
 }
 
-func (f *Fleet) journal(node *Node) string {
+func (f *Fleet) journalPath(node *Node) string {
 	return filepath.Join(f.Spec.Directory, node.Name+".journal")
 }
 
-// Journal returns the runs and uploads of the upstreams that ran beside a
-// node, also of killed ones.
+// Journal returns the executions and uploads of all upstream processes that ran
+// beside a node, including killed ones.
 func (f *Fleet) Journal(node *Node) (recorder.Records, error) {
-	file, err := os.Open(f.journal(node))
+	file, err := os.Open(f.journalPath(node))
 	if err != nil {
-		return recorder.Records{}, errors.Wrap(err, "journal")
+		return recorder.Records{}, errors.Wrap(err, "open journal")
 	}
 	defer file.Close()
 	return recorder.Replay(file)
 }
 
-// Events returns the journal of the upstreams that ran beside a node, also of
-// killed ones.
+// Events returns the journal of all upstream processes that ran beside a node,
+// including killed ones.
 func (f *Fleet) Events(node *Node) ([]recorder.Event, error) {
-	file, err := os.Open(f.journal(node))
+	file, err := os.Open(f.journalPath(node))
 	if err != nil {
-		return nil, errors.Wrap(err, "journal")
+		return nil, errors.Wrap(err, "open journal")
 	}
 	defer file.Close()
 	return recorder.Events(file)
 }
 
-// Stop ends everything.
+// Stop stops all processes and relays.
 func (f *Fleet) Stop() {
 	f.Heal()
 	f.launcher.Stop()
-	_ = f.guard.Close()
+	_ = f.reservation.Close()
 	for _, relay := range f.nodeRelays {
 		relay.Close()
 	}
@@ -274,12 +279,12 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, file := range f.logs {
+	for _, file := range f.logFiles {
 		_ = file.Close()
 	}
 }
 
-// Node returns the node with name.
+// Node returns the node with a name and panics if there is none.
 func (f *Fleet) Node(name string) *Node {
 	for _, node := range f.Nodes {
 		if node.Name == name {
@@ -289,12 +294,12 @@
 	panic("no node " + name)
 }
 
-// NodesIn returns the nodes of a zone.
+// NodesIn returns the nodes in a zone.
 func (f *Fleet) NodesIn(zone string) []*Node {
 	return slices.DeleteFunc(slices.Clone(f.Nodes), func(n *Node) bool { return n.Zone.Name != zone })
 }
 
-// WaitReady waits until the nodes take calls.
+// WaitReady waits until the nodes report that they are ready.
 func (f *Fleet) WaitReady(ctx context.Context, nodes ...*Node) error {
 	for _, node := range nodes {
 		err := Eventually(ctx, readyTimeout, func() bool {
@@ -308,7 +313,8 @@
 	return nil
 }
 
-// Eventually checks a condition until it holds or limit has passed.
+// Eventually polls a condition until it holds. It returns an error when limit has
+// passed or ctx has ended.
 func Eventually(ctx context.Context, limit time.Duration, condition func() bool) error {
 	deadline := time.Now().Add(limit)
 	for !condition() {
@@ -324,14 +330,15 @@
 	return nil
 }
 
-// Get reads a page of a process.
+// Get sends a GET request to a process and returns the status and the body.
 func Get(ctx context.Context, address netip.AddrPort, path string) (int, []byte, error) {
-	return exchange(ctx, http.MethodGet, address, path, "", nil)
+	return doRequest(ctx, http.MethodGet, address, path, "", nil)
 }
 
-// Read reads a page of a node's API as an operator into value.
+// Read sends a GET request to the API of a node as an operator and decodes the JSON
+// response into value.
 func (f *Fleet) Read(ctx context.Context, operator string, node *Node, path string, value any) error {
-	status, body, err := exchange(ctx, http.MethodGet, node.Operators, path, f.tokens[operator], nil)
+	status, body, err := doRequest(ctx, http.MethodGet, node.Operators, path, f.tokens[operator], nil)
 	if err != nil {
 		return err
 	}
@@ -341,45 +348,45 @@
 	return errors.Wrapf(json.Unmarshal(body, value), "read %s of %s", path, node.Name)
 }
 
-// Put sends a JSON value to a process.
+// Put sends a PUT request with a JSON value to a process.
 func Put(ctx context.Context, address netip.AddrPort, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return errors.Wrap(err, "encode")
+		return errors.Wrap(err, "encode request body")
 	}
-	status, text, err := exchange(ctx, http.MethodPut, address, path, "", body)
+	status, text, err := doRequest(ctx, http.MethodPut, address, path, "", body)
 	if err == nil && status >= http.StatusBadRequest {
 		err = errors.Errorf("PUT %s%s: status %d: %s", address, path, status, text)
 	}
 	return err
 }
 
-func exchange(ctx context.Context, method string, address netip.AddrPort, path, token string, body []byte) (int, []byte, error) {
+func doRequest(ctx context.Context, method string, address netip.AddrPort, path, token string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "request")
+		return 0, nil, errors.Wrap(err, "create request")
 	}
 	if token != "" {
 		request.Header.Set("Authorization", "Bearer "+token)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "request")
+		return 0, nil, errors.Wrap(err, "send request")
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	return response.StatusCode, text, errors.Wrap(err, "read answer")
+	return response.StatusCode, text, errors.Wrap(err, "read response body")
 }
 
-// SetStoreFaults replaces the store's fault plan.
+// SetStoreFaults replaces the fault plan of the store.
 func (f *Fleet) SetStoreFaults(ctx context.Context, plan any) error {
-	return Put(ctx, f.storeAt, "/faults", plan)
+	return Put(ctx, f.storeAddress, "/faults", plan)
 }
 
-// DeclareTeams declares teams with one operator each, and review with two. It is the
-// first change of a fleet.
+// DeclareTeams submits the change that declares teams. It must be the first change of
+// a fleet. Each team has the operators TEAM and TEAM-reviewer.
 func (f *Fleet) DeclareTeams(ctx context.Context, modes map[string]string) error {
 	var text strings.Builder
 	text.WriteString("team: admin\nteams:\n")
@@ -393,19 +400,20 @@
 	}
 	outcome, err := f.Apply(ctx, "admin", "admin", text.String(), f.Nodes[0])
 	if err == nil && outcome.Status != "accepted" {
-		err = errors.Errorf("teams %s: %+v", outcome.Status, outcome.Faults)
+		err = errors.Errorf("declare teams: change %s: %+v", outcome.Status, outcome.Faults)
 	}
 	return err
 }
 
-// Apply submits settings as an operator through nodes, in their order.
+// Apply submits the settings of a team as an operator. It tries the nodes in their
+// order.
 func (f *Fleet) Apply(ctx context.Context, operator, team, text string, nodes ...*Node) (*settings.Outcome, error) {
 	return f.Change(ctx, operator, &settings.SubmitPayload{
 		ID: uuid.NewString(), Kind: "apply", Team: team, Settings: &text,
 	}, nodes...)
 }
 
-// Change submits a change as an operator through nodes, in their order.
+// Change submits a change as an operator. It tries the nodes in their order.
 func (f *Fleet) Change(ctx context.Context, operator string, payload *settings.SubmitPayload, nodes ...*Node) (*settings.Outcome, error) {
 	r, err := f.Requester(operator, nodes...)
 	if err != nil {
@@ -415,7 +423,7 @@
 	return r.Change(ctx, payload)
 }
 
-// Requester returns a client of the nodes for an operator.
+// Requester returns a client of the operator API of the nodes for an operator.
 func (f *Fleet) Requester(operator string, nodes ...*Node) (*requester.Requester, error) {
 	var servers []string
 	for _, node := range nodes {
@@ -429,13 +437,13 @@
 	return r, nil
 }
 
-// WaitVersion waits until count nodes have applied version.
+// WaitVersion waits until at least count nodes have applied version.
 func (f *Fleet) WaitVersion(ctx context.Context, version uint64, count int, limit time.Duration) error {
 	err := Eventually(ctx, limit, func() bool { return f.Observer.Count(version) >= count })
-	return errors.Wrapf(err, "version %s on %d of %d nodes", strconv.FormatUint(version, 10), f.Observer.Count(version), count)
+	return errors.Wrapf(err, "version %s applied by %d of %d nodes", strconv.FormatUint(version, 10), f.Observer.Count(version), count)
 }
 
-// SetSeeds gives a node its first peers by its settings, for its next start.
+// SetSeeds sets the peers that a node contacts first, from its next start on.
 func (f *Fleet) SetSeeds(node *Node, peers ...*Node) {
 	var addresses []string
 	for _, peer := range peers {
--- a/bench/deployer/network.go
+++ b/bench/deployer/network.go
@@ -8,19 +8,19 @@
 )
 
 // Partition cuts zones off from all others and from the store.
-func (f *Fleet) Partition(zones ...string) { f.set(f.cut, zones, true) }
+func (f *Fleet) Partition(zones ...string) { f.setState(f.partitioned, zones, true) }
 
-// Freeze stops the traffic of zones with all others and the store; open
-// connections stay open.
-func (f *Fleet) Freeze(zones ...string) { f.set(f.frozen, zones, true) }
+// Freeze stops the traffic of zones with all others and the store. Open connections
+// stay open.
+func (f *Fleet) Freeze(zones ...string) { f.setState(f.frozen, zones, true) }
 
-// Separate cuts some zones off from others, and from the store when it is in
-// one of the others; both sides reach all remaining zones.
+// Separate cuts zones off from others, and from the store if it is in one of the
+// others. Both sides still reach all remaining zones.
 func (f *Fleet) Separate(zones, others []string) {
 	f.mutex.Lock()
 	for _, zone := range zones {
 		for _, other := range others {
-			f.apart[[2]string{zone, other}], f.apart[[2]string{other, zone}] = true, true
+			f.separated[[2]string{zone, other}], f.separated[[2]string{other, zone}] = true, true
 		}
 	}
 	f.mutex.Unlock()
@@ -28,14 +28,14 @@
 }
 
 // Blackhole makes the open connections of zones with all others and the store
-// swallow all traffic for good; new ones work.
+// discard all traffic permanently. New connections work.
 func (f *Fleet) Blackhole(zones ...string) {
-	f.set(f.silent, zones, true)
-	f.set(f.silent, zones, false)
+	f.setState(f.blackholed, zones, true)
+	f.setState(f.blackholed, zones, false)
 }
 
-// Degrade adds jitter and loss to the traffic of zones with all others and the
-// store, on top of those of the Spec.
+// Degrade sets jitter and loss for the traffic of zones with all others and the
+// store. The larger of these and the values of the Spec applies.
 func (f *Fleet) Degrade(jitter time.Duration, loss float64, zones ...string) {
 	f.mutex.Lock()
 	for _, zone := range zones {
@@ -45,19 +45,19 @@
 	f.applyRules()
 }
 
-// Heal ends all partitions, freezes, jitter and loss that were added; silent
-// connections stay silent.
+// Heal ends all partitions, freezes, added jitter and added loss. Blackholed
+// connections stay blackholed.
 func (f *Fleet) Heal() {
 	f.mutex.Lock()
-	clear(f.cut)
+	clear(f.partitioned)
 	clear(f.frozen)
-	clear(f.apart)
+	clear(f.separated)
 	clear(f.degraded)
 	f.mutex.Unlock()
 	f.applyRules()
 }
 
-func (f *Fleet) set(state map[string]bool, zones []string, value bool) {
+func (f *Fleet) setState(state map[string]bool, zones []string, value bool) {
 	f.mutex.Lock()
 	for _, zone := range zones {
 		state[zone] = value
@@ -77,28 +77,29 @@
 		var rule relayer.Rule
 		for _, zone := range f.Spec.Zones {
 			if zone.Name == name {
-				// The store is in the first zone's region.
-				rule = f.link(zone, f.Spec.Zones[0])
+				// The store is in the first zone.
+				rule = f.linkRule(zone, f.Spec.Zones[0])
 			}
 		}
-		rule.Cut = f.cut[name] || f.apart[[2]string{name, f.Spec.Zones[0].Name}]
-		rule.Freeze, rule.Blackhole = f.frozen[name], f.silent[name]
+		rule.Cut = f.partitioned[name] || f.separated[[2]string{name, f.Spec.Zones[0].Name}]
+		rule.Freeze, rule.Blackhole = f.frozen[name], f.blackholed[name]
 		f.mutex.Unlock()
 		relay.Apply(func(netip.Addr) relayer.Rule { return rule })
 	}
 }
 
-// ruleTo returns what happens to traffic towards a zone, by the source's zone.
+// ruleTo returns the function that maps the source address of traffic to a zone to
+// the rule for the zone of the source.
 func (f *Fleet) ruleTo(to Zone) func(netip.Addr) relayer.Rule {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	rules := map[string]relayer.Rule{}
 	for _, from := range f.Spec.Zones {
-		rule := f.link(from, to)
+		rule := f.linkRule(from, to)
 		if from.Name != to.Name {
-			rule.Cut = f.cut[from.Name] || f.cut[to.Name] || f.apart[[2]string{from.Name, to.Name}]
+			rule.Cut = f.partitioned[from.Name] || f.partitioned[to.Name] || f.separated[[2]string{from.Name, to.Name}]
 			rule.Freeze = f.frozen[from.Name] || f.frozen[to.Name]
-			rule.Blackhole = f.silent[from.Name] || f.silent[to.Name]
+			rule.Blackhole = f.blackholed[from.Name] || f.blackholed[to.Name]
 		}
 		rules[from.Name] = rule
 	}
@@ -108,9 +109,9 @@
 	}
 }
 
-// link returns the delay, jitter and loss between two zones. The caller holds
-// the mutex.
-func (f *Fleet) link(from, to Zone) relayer.Rule {
+// linkRule returns the delay, jitter and loss between two zones. The caller must hold
+// f.mutex.
+func (f *Fleet) linkRule(from, to Zone) relayer.Rule {
 	rule := relayer.Rule{Delay: f.Spec.delay(from, to)}
 	if from.Name == to.Name {
 		return rule
--- a/bench/deployer/spec.go
+++ b/bench/deployer/spec.go
@@ -12,31 +12,32 @@
 
 // Spec describes a fleet.
 type Spec struct {
-	// Binaries is the directory of the programs, Directory a writable one.
+	// Binaries is the directory of the programs, Directory the one for keys, logs and
+	// journals.
 	Binaries  string
 	Directory string
-	// Network is the second number of the loopback addresses, 127.Network.x.y.
-	// New chooses one that no other fleet on the machine uses.
+	// Network is the second octet of the loopback addresses, 127.Network.x.y. New
+	// chooses one that no other fleet on the machine uses.
 	Network uint8
 	Zones   []Zone
-	// Services are given to the nodes in turn.
+	// Services are assigned to the nodes in turn.
 	Services []string
 	// Upstreams starts a stand-in upstream beside each node.
 	Upstreams bool
-	// Relays puts a relay in front of each node and of the store in each
-	// availability zone, for partitions and delays.
+	// Relays starts a relay in front of each node and, in each availability zone, one
+	// in front of the store. Network delays and faults need them.
 	Relays bool
-	// NodeArgs are further arguments of every node.
+	// NodeArgs are additional arguments of every node.
 	NodeArgs []string
-	// UpstreamArgs are further arguments of every upstream.
+	// UpstreamArgs are additional arguments of every upstream.
 	UpstreamArgs []string
-	// ServiceArgs are further arguments of the upstreams of a service.
+	// ServiceArgs are additional arguments of the upstreams by service.
 	ServiceArgs map[string][]string
-	// ZoneDelay and RegionDelay are added one way between availability zones
-	// of a region and between regions; they need Relays.
+	// ZoneDelay and RegionDelay are the one-way delays between availability zones of
+	// a region and between regions. They need Relays.
 	ZoneDelay   time.Duration
 	RegionDelay time.Duration
-	// Jitter and Loss are those of relayer.Rule between availability zones.
+	// Jitter and Loss apply between availability zones, as in relayer.Rule.
 	Jitter time.Duration
 	Loss   float64
 }
@@ -46,13 +47,13 @@
 	Name   string
 	Region string
 	Nodes  int
-	// Services are those of its nodes in their order, in place of the Services
-	// of the Spec.
+	// Services has the service of each node in order. If empty, Spec.Services apply.
 	Services []string
 }
 
-// ReferenceZones returns the six availability zones of today's deployments with the
-// given nodes in each; the store is in the first region.
+// ReferenceZones returns the six availability zones of the users' deployments, two in
+// each of three regions, with a number of nodes in each. The store is in the first
+// region.
 func ReferenceZones(nodes int) []Zone {
 	regions := []string{"kigali", "north", "south"}
 	var zones []Zone
@@ -64,7 +65,7 @@
 	return zones
 }
 
-// Ports of the processes; each has an address of its own.
+// Ports of the processes. Each process has its own address.
 const (
 	portStore     = 7000
 	portPeers     = 7060
@@ -73,12 +74,13 @@
 	portCallers   = 8080
 	portUpstream  = 9000
 	portControl   = 9100
-	// hostStore is the last number of the store's relay in a zone.
+	// hostStore is the last octet of the address of the store's relay in a zone.
 	hostStore = 254
-	// hostGuard and portGuard are the address that reserves a network.
-	hostGuard = 250
-	portGuard = 6999
-	// firstNetwork and networks bound the networks to choose from.
+	// hostReservation and portReservation form the address whose listener reserves a
+	// network.
+	hostReservation = 250
+	portReservation = 6999
+	// firstNetwork and networks define the range of networks to choose from.
 	firstNetwork = 16
 	networks     = 200
 )
@@ -87,21 +89,21 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, s.Network, zone, host}), port)
 }
 
-// reserve chooses a network and listens on its guard address for as long as
-// the fleet exists, so that fleets of other processes choose another one.
-func (s *Spec) reserve() (net.Listener, error) {
+// reserveNetwork chooses a network and listens on its reservation address until the
+// fleet stops, so that fleets of other processes choose another network.
+func (s *Spec) reserveNetwork() (net.Listener, error) {
 	start := rand.IntN(networks)
 	for i := range networks {
 		s.Network = uint8(firstNetwork + (start+i)%networks)
-		guard, err := net.Listen("tcp", s.address(0, hostGuard, portGuard).String())
+		listener, err := net.Listen("tcp", s.address(0, hostReservation, portReservation).String())
 		if err == nil {
-			return guard, nil
+			return listener, nil
 		}
 	}
-	return nil, errors.New("every loopback network is in use")
+	return nil, errors.New("no loopback network is free")
 }
 
-// zoneOf returns the zone that an address belongs to.
+// zoneOf returns the zone of an address.
 func (s Spec) zoneOf(address netip.Addr) (Zone, bool) {
 	number := int(address.Unmap().As4()[2]) - 1
 	if number < 0 || number >= len(s.Zones) {
--- a/bench/deployer/stats.go
+++ b/bench/deployer/stats.go
@@ -14,7 +14,7 @@
 	Callers map[string]StoreUsage `json:"callers"`
 }
 
-// StoreUsage counts calls to the store and the bytes of their bodies.
+// StoreUsage counts the calls to the store and the bytes of their bodies.
 type StoreUsage struct {
 	Reads    float64 `json:"reads"`
 	Writes   float64 `json:"writes"`
@@ -22,25 +22,25 @@
 	Sent     float64 `json:"sent"`
 }
 
-// Calls is the number of calls of all callers.
+// Calls returns the number of calls by all callers.
 func (s StoreStats) Calls() float64 { return s.Total.Reads + s.Total.Writes }
 
-// Bytes is what a caller sent and received.
+// Bytes returns the number of bytes that a caller sent and received.
 func (s StoreStats) Bytes(caller string) float64 {
 	return s.Callers[caller].Sent + s.Callers[caller].Received
 }
 
-// StoreStats reads the store's counters.
+// StoreStats reads the statistics of the store.
 func (f *Fleet) StoreStats(ctx context.Context) (StoreStats, error) {
 	var stats StoreStats
-	_, body, err := Get(ctx, f.storeAt, "/stats")
+	_, body, err := Get(ctx, f.storeAddress, "/stats")
 	if err != nil {
 		return stats, err
 	}
-	return stats, errors.Wrap(json.Unmarshal(body, &stats), "store statistics")
+	return stats, errors.Wrap(json.Unmarshal(body, &stats), "decode store statistics")
 }
 
-// Pause waits for a time or the end of ctx.
+// Pause sleeps for d or until ctx ends.
 func Pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
