--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -19,8 +19,8 @@
 	// Whole means that requests and responses arrive complete and that a caller
 	// gets the response to its own request.
 	Whole Promise = "whole"
-	// NotRun means that an attempt with the result "not run" is never executed,
-	// also not later.
+	// NotRun means that an attempt with the result "not run" is never executed, not
+	// even later.
 	NotRun Promise = "not-run"
 	// Once means that a request that must not run twice is executed at most once.
 	Once Promise = "once"
