--- a/bench/caller/schedule.go
+++ b/bench/caller/schedule.go
@@ -70,9 +70,9 @@
 		remaining := random.ExpFloat64()
 		for at < duration {
 			rate, edge := c.rate(kind, at), c.nextRateChange(at, duration)
-			untilEdge := (edge - at).Seconds() * rate
-			if remaining > untilEdge || rate == 0 {
-				remaining -= untilEdge
+			beforeEdge := (edge - at).Seconds() * rate
+			if remaining > beforeEdge || rate == 0 {
+				remaining -= beforeEdge
 				at = edge
 				continue
 			}
--- a/bench/caller/send.go
+++ b/bench/caller/send.go
@@ -55,7 +55,7 @@
 	received, err := io.ReadAll(io.LimitReader(response.Body, int64(len(expected))+1))
 	attempt.Status = response.StatusCode
 	if err != nil {
-		// A response whose body breaks off with an error does not count as one.
+		// A response with a truncated body has no status-based result; it stays Unknown.
 		attempt.Reason, attempt.Disconnected = err.Error(), disconnects && ctx.Err() != nil
 		return attempt, defaultRetryDelay
 	}
@@ -84,7 +84,8 @@
 		request.Header.Set(sycamorerun.HeaderDeadline, strconv.FormatInt(kind.Deadline.Milliseconds(), 10))
 	}
 	if kind.Key {
-		// http.Transport resends a request that has the canonical name of this header.
+		// With the canonical header name, http.Transport would resend the request after
+		// a connection failure.
 		request.Header[strings.ToLower(sycamorerun.HeaderKey)] = []string{record}
 	}
 	return request
--- a/bench/caller/stall.go
+++ b/bench/caller/stall.go
@@ -12,8 +12,8 @@
 	minStall           = 100 * time.Millisecond
 )
 
-// Stall is an interval in which the process of the callers did not run. A response
-// that seems late in it may have arrived in time.
+// Stall is an interval in which the process of the callers did not run. Responses
+// that were read late because of it may have arrived in time.
 type Stall struct {
 	From, To time.Time
 }
