--- a/bench/mixer/workload.go
+++ b/bench/mixer/workload.go
@@ -107,8 +107,8 @@
 func (w workload) header(id string) http.Header {
 	header := http.Header{}
 	if w.keyed {
-		// http.Transport would resend a request that has the canonical name of this
-		// header and hide the result of the first attempt.
+		// With the canonical header name, http.Transport would resend the request after
+		// a connection failure and hide the result of the first attempt.
 		header[strings.ToLower(sycamorerun.HeaderKey)] = []string{id}
 	}
 	return header
