--- a/bench/relayer/relayer.go
+++ b/bench/relayer/relayer.go
@@ -18,7 +18,7 @@
 
 // Rule defines the faults that are injected into the traffic from a source.
 type Rule struct {
-	// Cut refuses new connections and closes the open ones.
+	// Cut closes the open connections and each new one.
 	Cut bool
 	// Freeze keeps connections open and holds back their data.
 	Freeze bool
