--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -33,10 +33,10 @@
 )
 
 const (
-	readyTimeout   = 30 * time.Second
-	readyInterval  = 20 * time.Millisecond
-	controlTimeout = 5 * time.Second
-	certificateAge = 24 * time.Hour
+	readyTimeout        = 30 * time.Second
+	pollInterval        = 20 * time.Millisecond
+	requestTimeout      = 5 * time.Second
+	certificateLifetime = 24 * time.Hour
 )
 
 // Node is a node of the fleet with the upstream beside it.
@@ -104,7 +104,7 @@
 	f.tokens["admin"], f.adminHash = issuer.Token()
 	f.launcher = &launcher.Launcher{Binaries: spec.Binaries, HandleLine: f.handleLine}
 	err = issuer.Keys(time.Now(), filepath.Join(spec.Directory, "keys"), issuer.Request{
-		Names: []string{"sycamorerun"}, Lifetime: certificateAge, Addresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+		Names: []string{"sycamorerun"}, Lifetime: certificateLifetime, Addresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 	})
 	return f, errors.Wrap(err, "issue TLS keys")
 }
@@ -324,7 +324,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(readyInterval):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
@@ -362,7 +362,7 @@
 }
 
 func doRequest(ctx context.Context, method string, address netip.AddrPort, path, token string, body []byte) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address.String()+path, bytes.NewReader(body))
 	if err != nil {
