--- a/bench/converger/converger.go
+++ b/bench/converger/converger.go
@@ -94,7 +94,7 @@
 
 // Run starts a fleet, measures and stops it.
 func Run(ctx context.Context, c Case) (Result, error) {
-	zones := deployer.Today(c.Nodes / 6)
+	zones := deployer.ReferenceZones(c.Nodes / 6)
 	fleet, err := deployer.New(deployer.Spec{
 		Binaries: c.Binaries, Directory: c.Directory, Zones: zones,
 		Services: []string{"quote-desk"}, Relays: c.RegionDelay > 0 || c.ZoneDelay > 0,
@@ -140,7 +140,7 @@
 	for i := range teams {
 		modes[team(i)] = "flow"
 	}
-	if err := fleet.Teams(ctx, modes); err != nil {
+	if err := fleet.DeclareTeams(ctx, modes); err != nil {
 		return 0, err
 	}
 	var version uint64
--- a/bench/mixer/judge_test.go
+++ b/bench/mixer/judge_test.go
@@ -9,40 +9,40 @@
 	"sycamorerun"
 )
 
-// Guards against a judge that lets a broken promise pass.
+// Guards against violations that the judge misses and against false findings.
 func TestJudge(t *testing.T) {
-	answered := Told{Result: sycamorerun.Answered, Status: http.StatusOK, Whole: true}
-	notRun := Told{Result: sycamorerun.NotRun, Status: http.StatusServiceUnavailable}
-	unknown := Told{Result: sycamorerun.Unknown}
+	answered := Attempt{Result: sycamorerun.Answered, Status: http.StatusOK, Whole: true}
+	notRun := Attempt{Result: sycamorerun.NotRun, Status: http.StatusServiceUnavailable}
+	unknown := Attempt{Result: sycamorerun.Unknown}
 	cases := map[string]struct {
-		kind     Kind
-		told     []Told
-		executed int
-		faults   int
+		kind       Kind
+		attempts   []Attempt
+		executed   int
+		violations int
 	}{
-		"answered and ran":                {Order, []Told{answered}, 1, 0},
-		"unknown and ran":                 {Order, []Told{unknown}, 1, 0},
-		"unknown and did not run":         {Order, []Told{unknown, notRun}, 0, 0},
-		"ran twice":                       {Order, []Told{unknown, answered}, 2, 1},
-		"not run and ran":                 {Order, []Told{notRun, notRun}, 1, 1},
-		"answered and did not run":        {Order, []Told{answered}, 0, 1},
-		"read ran twice":                  {Status, []Told{answered}, 2, 0},
-		"read was not run and ran":        {Count, []Told{notRun}, 1, 1},
-		"upload repeated":                 {Upload, []Told{unknown, answered}, 2, 0},
-		"upload ran for a not-run":        {Upload, []Told{notRun, answered}, 2, 1},
-		"upload answered and not stored":  {Upload, []Told{answered}, 0, 1},
-		"history cut off":                 {History, []Told{{Result: sycamorerun.Answered, Status: http.StatusOK}}, 0, 1},
-		"history broke off and was known": {History, []Told{unknown}, 0, 0},
+		"answered and ran":                {Order, []Attempt{answered}, 1, 0},
+		"unknown and ran":                 {Order, []Attempt{unknown}, 1, 0},
+		"unknown and did not run":         {Order, []Attempt{unknown, notRun}, 0, 0},
+		"ran twice":                       {Order, []Attempt{unknown, answered}, 2, 1},
+		"not run and ran":                 {Order, []Attempt{notRun, notRun}, 1, 1},
+		"answered and did not run":        {Order, []Attempt{answered}, 0, 1},
+		"read ran twice":                  {Status, []Attempt{answered}, 2, 0},
+		"read was not run and ran":        {Count, []Attempt{notRun}, 1, 1},
+		"upload repeated":                 {Upload, []Attempt{unknown, answered}, 2, 0},
+		"upload ran for a not-run":        {Upload, []Attempt{notRun, answered}, 2, 1},
+		"upload answered and not stored":  {Upload, []Attempt{answered}, 0, 1},
+		"history cut off":                 {History, []Attempt{{Result: sycamorerun.Answered, Status: http.StatusOK}}, 0, 1},
+		"history broke off and was known": {History, []Attempt{unknown}, 0, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			item := &Item{Kind: c.kind, ID: "id", Sum: "sum", Told: c.told}
+			call := &Call{Kind: c.kind, ID: "id", Sum: "sum", Attempts: c.attempts}
 			records := Records{Runs: map[string]int{"id": c.executed}}
 			if c.kind == Upload && c.executed > 0 {
 				records.Uploads = map[string]int{"sum": c.executed}
 			}
-			is.Equal(len(Judge([]*Item{item}, records)), c.faults)
+			is.Equal(len(Judge([]*Call{call}, records)), c.violations)
 		})
 	}
 	is.New(t).Equal(len(Judge(nil, Records{Uploads: map[string]int{"part": 1}})), 1)
--- a/bench/player/event.go
+++ b/bench/player/event.go
@@ -47,7 +47,7 @@
 		r.fail(r.storeFault(ctx, number, event, false))
 	case event.Kind == experimenter.Silence:
 		inside, _ := r.sides(event)
-		r.fleet.Silence(inside...)
+		r.fleet.Blackhole(inside...)
 		r.fault(from, r.selected(number, event)...)
 	case event.Kind.Link():
 		r.link(number, event, true)
@@ -200,7 +200,7 @@
 		rules = append(rules, some...)
 	}
 	r.mutex.Unlock()
-	return r.fleet.StoreFaults(ctx, map[string][]rule{"rules": rules})
+	return r.fleet.SetStoreFaults(ctx, map[string][]rule{"rules": rules})
 }
 
 // storeKind returns the store's name of a fault.
--- a/bench/player/fleet.go
+++ b/bench/player/fleet.go
@@ -74,13 +74,13 @@
 // whose timeout shows it to callers.
 func markerSettings(x experimenter.Experiment, number int) string {
 	return fmt.Sprintf("team: %s\nroutes:\n  %s: {hosts: [%s], prefix: /, repeat: always, rank: 1, timeout: %s, split: [{service: %s, weight: 100}]}\n",
-		teamMarker, experimenter.Marker, host(experimenter.Marker), caller.Marker(number), x.Fleet.Services[0].Name)
+		teamMarker, experimenter.Marker, host(experimenter.Marker), caller.MarkerTimeout(number), x.Fleet.Services[0].Name)
 }
 
 // callers returns the callers of the experiment and those that read the
 // version in force.
-func (r *run) callers() *caller.Caller {
-	c := &caller.Caller{Seed: r.x.Seed}
+func (r *run) callers() *caller.Generator {
+	c := &caller.Generator{Seed: r.x.Seed}
 	for _, node := range r.fleet.Nodes {
 		c.Entries = append(c.Entries, caller.Entry{Name: node.Name, Zone: node.Zone.Name, Address: node.Callers})
 	}
@@ -88,7 +88,7 @@
 		c.Kinds = append(c.Kinds, caller.Kind{
 			Name: k.Name, Rate: k.Rate, Host: host(k.Name), Work: k.Work, Body: k.Body, Response: k.Response,
 			Objective: k.Objective, Deadline: k.Deadline, Timeout: k.Timeout, Retries: k.Retries,
-			Once: k.Once, Key: k.Key, Hasty: k.Hasty, Leaving: k.Leaving,
+			AtMostOnce: k.Once, Key: k.Key, ImmediateRetryShare: k.Hasty, DisconnectShare: k.Leaving,
 		})
 	}
 	c.Kinds = append(c.Kinds, caller.Kind{
--- a/bench/system/configuration_test.go
+++ b/bench/system/configuration_test.go
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
+			fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(3)})
 			failing := watchers(t, fleet)
 			is.True(len(failing) >= 3) // One in each region at least.
 			t.Logf("%d of %d nodes fail", len(failing), len(fleet.Nodes))
@@ -100,7 +100,7 @@
 func TestMostNodesPause(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(3)})
 	// Links of the first contacts, which bring a change as well, stay open for
 	// 10 s.
 	time.Sleep(13 * time.Second)
@@ -123,15 +123,15 @@
 func TestRestartDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(2)})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(2)})
 	ctx := t.Context()
 	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[1])
 	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
 	node := fleet.Nodes[0]
 	node.Process.Kill()
-	is.NoErr(fleet.StoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "refuse"}}}))
+	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "refuse"}}}))
 	// The store is down, so the first peers come from the settings.
-	fleet.Seed(node, fleet.Nodes[1], fleet.Nodes[2])
+	fleet.SetSeeds(node, fleet.Nodes[1], fleet.Nodes[2])
 	is.NoErr(fleet.StartNode(ctx, node))
 	is.NoErr(fleet.WaitReady(ctx, node))
 	s, err := statusOf(t, fleet, node)
@@ -144,14 +144,14 @@
 func TestHerdRestart(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(3)})
 	ctx := t.Context()
 	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[1])
 	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
 	for _, node := range fleet.Nodes {
 		node.Process.Kill()
 	}
-	is.NoErr(fleet.StoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "delay", "delay": "300ms"}}}))
+	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "delay", "delay": "300ms"}}}))
 	for _, node := range fleet.Nodes {
 		is.NoErr(fleet.StartNode(ctx, node))
 	}
@@ -168,11 +168,11 @@
 func TestPartition(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(2), Relays: true, Upstreams: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(2), Relays: true, Upstreams: true})
 	ctx := t.Context()
 	waitKnown(t, fleet, "quoting") // nodes that are cut off can't learn of each other
 	isolated := "north-1"
-	inside := fleet.In(isolated)
+	inside := fleet.NodesIn(isolated)
 	is.NoErr(deployer.Eventually(ctx, converged, func() bool { return answers(ctx, inside[1], "quotes.example", "/quotes/1") }))
 	fleet.Partition(isolated)
 	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[0])
@@ -190,7 +190,7 @@
 func TestFreeze(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(2), Relays: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(2), Relays: true})
 	ctx := t.Context()
 	fleet.Freeze("south-1")
 	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[0])
@@ -205,9 +205,9 @@
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(1)})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(1)})
 	ctx := t.Context()
-	is.NoErr(fleet.StoreFaults(ctx, map[string]any{"rules": []map[string]any{
+	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{"rules": []map[string]any{
 		{"kind": "lose", "operations": []string{"put"}, "fraction": 0.33},
 	}}))
 	const rounds = 8
@@ -232,7 +232,7 @@
 		})
 	}
 	group.Wait()
-	is.NoErr(fleet.StoreFaults(ctx, map[string]any{}))
+	is.NoErr(fleet.SetStoreFaults(ctx, map[string]any{}))
 	accepted := map[uint64]int{}
 	var newest uint64
 	for _, own := range versions {
--- a/bench/system/judged_test.go
+++ b/bench/system/judged_test.go
@@ -28,14 +28,14 @@
 func judgedKinds(zone string) []caller.Kind {
 	ms := time.Millisecond
 	return []caller.Kind{
-		{Name: "read", Rate: 30, Method: "GET", Host: "read.example", Work: 5 * ms, Response: 2000, Objective: 100 * ms, Deadline: time.Second, Timeout: 5 * time.Second, Retries: 2, Leaving: 0.05},
-		{Name: "book", Rate: 20, Host: "book.example", Work: 30 * ms, Timeout: 2 * time.Second, Retries: 3, Once: true, Hasty: 0.3},
-		{Name: "order", Rate: 10, Host: "book.example", Work: 30 * ms, Timeout: 2 * time.Second, Retries: 2, Once: true, Key: true, Roam: true},
-		{Name: "upload", Rate: 5, Host: "book.example", Work: 20 * ms, Body: 200 << 10, Chunked: true, Timeout: 2 * time.Second, Retries: 1, Once: true},
+		{Name: "read", Rate: 30, Method: "GET", Host: "read.example", Work: 5 * ms, Response: 2000, Objective: 100 * ms, Deadline: time.Second, Timeout: 5 * time.Second, Retries: 2, DisconnectShare: 0.05},
+		{Name: "book", Rate: 20, Host: "book.example", Work: 30 * ms, Timeout: 2 * time.Second, Retries: 3, AtMostOnce: true, ImmediateRetryShare: 0.3},
+		{Name: "order", Rate: 10, Host: "book.example", Work: 30 * ms, Timeout: 2 * time.Second, Retries: 2, AtMostOnce: true, Key: true, RotateNodes: true},
+		{Name: "upload", Rate: 5, Host: "book.example", Work: 20 * ms, Body: 200 << 10, Chunked: true, Timeout: 2 * time.Second, Retries: 1, AtMostOnce: true},
 		{Name: "history", Rate: 5, Host: "read.example", Work: time.Second, Response: 300 << 10, Timeout: 5 * time.Second, Retries: 1},
 		{Name: "pull", Rate: 4, Zones: []string{zone}, Host: "read.example", Work: time.Second, Response: 300 << 10, Timeout: 5 * time.Second},
 		{Name: "late", Rate: 3, Host: "late.example", Work: 3 * time.Second, Timeout: judgedTimeout},
-		{Name: "gone", Rate: 4, Host: "read.example", Work: 2500 * ms, Timeout: 5 * time.Second, Leaving: 0.8},
+		{Name: "gone", Rate: 4, Host: "read.example", Work: 2500 * ms, Timeout: 5 * time.Second, DisconnectShare: 0.8},
 		{Name: "version", Rate: 18, Host: "version.example", Marker: true},
 	}
 }
@@ -50,7 +50,7 @@
   book: {hosts: [book.example], prefix: /, timeout: 2s, repeat: never, split: [{service: quote-desk, weight: 100}]}
   late: {hosts: [late.example], prefix: /, timeout: %s, split: [{service: quote-desk, weight: 100}]}
   version: {hosts: [version.example], prefix: /, timeout: %s, class: interactive, split: [{service: quote-desk, weight: 100}]}
-`, judgedTimeout, caller.Marker(version))
+`, judgedTimeout, caller.MarkerTimeout(version))
 }
 
 // Guards against every promise of bench/judge being broken in a fleet that
@@ -60,13 +60,13 @@
 	is := is.New(t)
 	ctx := t.Context()
 	fleet := startEmpty(t, deployer.Spec{
-		Zones: deployer.Today(1), Upstreams: true, Services: []string{"quote-desk"}, Relays: true,
+		Zones: deployer.ReferenceZones(1), Upstreams: true, Services: []string{"quote-desk"}, Relays: true,
 		UpstreamArgs: []string{"--slots", "6", "--queue", "2"},
 		NodeArgs:     []string{"--drain-delay", "1s", "--drain-timeout", "8s"},
 	})
 	waitKnown(t, fleet, "admin")
-	is.NoErr(fleet.Teams(ctx, map[string]string{"quoting": "flow"}))
-	var operator judge.Operator
+	is.NoErr(fleet.DeclareTeams(ctx, map[string]string{"quoting": "flow"}))
+	var operator judge.OperatorActions
 	change := func(nodes ...*deployer.Node) {
 		number := len(operator.Versions) + 1
 		apply(t, fleet, "quoting", judgedSettings(number), nodes...)
@@ -77,7 +77,7 @@
 
 	faulty, drained, stopped, killed := fleet.Nodes[1], fleet.Nodes[2], fleet.Nodes[3], fleet.Nodes[4]
 	is.NoErr(deployer.Put(ctx, faulty.Control, "/behavior", map[string]any{"truncate": 0.1, "surplus": 0.1, "extra": 0.1, "lose": 0.1, "fail": 0.05}))
-	callers := &caller.Caller{Kinds: judgedKinds(stopped.Zone.Name), Seed: judgedSeed}
+	callers := &caller.Generator{Kinds: judgedKinds(stopped.Zone.Name), Seed: judgedSeed}
 	for _, node := range fleet.Nodes {
 		callers.Entries = append(callers.Entries, caller.Entry{Name: node.Name, Zone: node.Zone.Name, Address: node.Callers})
 	}
--- a/bench/system/main_test.go
+++ b/bench/system/main_test.go
@@ -64,7 +64,7 @@
 	is.NoErr(err)
 	t.Cleanup(func() {
 		fleet.Stop()
-		if back := fleet.Observer.Backward(); len(back) > 0 {
+		if back := fleet.Observer.Regressions(); len(back) > 0 {
 			t.Errorf("nodes went back to an older version: %v", back)
 		}
 		if t.Failed() {
@@ -80,7 +80,7 @@
 	t.Helper()
 	is := is.New(t)
 	ctx := t.Context()
-	is.NoErr(fleet.Teams(ctx, map[string]string{"quoting": "flow", "surveys": "flow", "careful": "review"}))
+	is.NoErr(fleet.DeclareTeams(ctx, map[string]string{"quoting": "flow", "surveys": "flow", "careful": "review"}))
 	apply(t, fleet, "surveys", surveys, fleet.Nodes[0])
 	version := apply(t, fleet, "quoting", quoting("/quotes"), fleet.Nodes[0])
 	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
@@ -91,7 +91,7 @@
 func startBookings(t *testing.T, args ...string) *deployer.Fleet {
 	t.Helper()
 	fleet := startEmpty(t, deployer.Spec{
-		Zones: deployer.Today(1), Upstreams: true, Services: []string{"quote-desk"}, NodeArgs: args,
+		Zones: deployer.ReferenceZones(1), Upstreams: true, Services: []string{"quote-desk"}, NodeArgs: args,
 	})
 	waitKnown(t, fleet, "admin")
 	configure(t, fleet)
--- a/bench/system/partition_test.go
+++ b/bench/system/partition_test.go
@@ -32,7 +32,7 @@
 func TestRegionCutWithoutFirstMembers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := start(t, deployer.Spec{Zones: deployer.Today(3), Relays: true, Upstreams: true})
+	fleet := start(t, deployer.Spec{Zones: deployer.ReferenceZones(3), Relays: true, Upstreams: true})
 	ctx := t.Context()
 	waitKnown(t, fleet, "quoting")
 	watching := watchers(t, fleet)
@@ -95,7 +95,7 @@
 	}
 	for _, zone := range []string{"kigali-1", "north-1"} {
 		is.NoErr(deployer.Eventually(ctx, detected, func() bool {
-			_, metrics, err := deployer.Get(ctx, fleet.In(zone)[0].Operators, "/metrics")
+			_, metrics, err := deployer.Get(ctx, fleet.NodesIn(zone)[0].Operators, "/metrics")
 			return err == nil && gauge(string(metrics), "sycamorerun_tracker_unreachable_zones") == "2"
 		}))
 	}
