--- a/parser/field.go
+++ b/parser/field.go
@@ -26,10 +26,10 @@
 	HeaderBytes = 1 << 20
 	// BodyBytes bounds what the limits can set for a body.
 	BodyBytes = 1 << 40
-	// Wait and Idle bound what the limits can set for the time of a header and
+	// MaxWait and Idle bound what the limits can set for the time of a header and
 	// of a connection without a request.
-	Wait = time.Hour
-	Idle = 24 * time.Hour
+	MaxWait = time.Hour
+	Idle    = 24 * time.Hour
 	// Aliases bounds the anchors and aliases of a settings file.
 	Aliases = 64
 	// Faults bounds how many faults are reported at once.
@@ -220,7 +220,7 @@
 	},
 	{
 		Object: objectLimits, Name: "wait", Type: "duration", Default: "0s",
-		Low: 0, High: float64(Wait),
+		Low: 0, High: float64(MaxWait),
 		at: of(func(l *sycamorerun.Limits) any { return &l.Wait }),
 	},
 	{
