--- a/parser/field.go
+++ b/parser/field.go
@@ -29,7 +29,7 @@
 	// MaxWait and Idle bound what the limits can set for the time of a header and
 	// of a connection without a request.
 	MaxWait = time.Hour
-	Idle    = 24 * time.Hour
+	MaxIdle = 24 * time.Hour
 	// Aliases bounds the anchors and aliases of a settings file.
 	Aliases = 64
 	// Faults bounds how many faults are reported at once.
@@ -225,7 +225,7 @@
 	},
 	{
 		Object: objectLimits, Name: "idle", Type: "duration", Default: "0s",
-		Low: 0, High: float64(Idle),
+		Low: 0, High: float64(MaxIdle),
 		at: of(func(l *sycamorerun.Limits) any { return &l.Idle }),
 	},
 }
