--- a/ctl/commander/commander.go
+++ b/ctl/commander/commander.go
@@ -208,7 +208,7 @@
 		reader = file
 	}
 	// One byte more lets the parser see that the text is too long.
-	text, err := io.ReadAll(io.LimitReader(reader, parser.TextBytes+1))
+	text, err := io.ReadAll(io.LimitReader(reader, parser.MaxTextBytes+1))
 	return text, errors.Wrap(err, "settings file")
 }
 
--- a/parser/field.go
+++ b/parser/field.go
@@ -12,9 +12,9 @@
 
 // Limits of a settings file and of the tree.
 const (
-	// TextBytes bounds a settings file. The YAML nodes of a text take many
+	// MaxTextBytes bounds a settings file. The YAML nodes of a text take many
 	// times its size in memory, and a node has a budget of 64 MB.
-	TextBytes = 1 << 20
+	MaxTextBytes = 1 << 20
 	// ItemBytes bounds one item as JSON.
 	ItemBytes = 64 << 10
 	// Teams, Services and Routes bound the items of each kind in the tree.
--- a/parser/memory_test.go
+++ b/parser/memory_test.go
@@ -47,7 +47,7 @@
 
 // fill repeats unit up to the limit of a text.
 func fill(head, unit, tail string) string {
-	return head + strings.Repeat(unit, (parser.TextBytes-len(head)-len(tail))/len(unit)) + tail
+	return head + strings.Repeat(unit, (parser.MaxTextBytes-len(head)-len(tail))/len(unit)) + tail
 }
 
 // many writes items up to their number or the limit of a text.
@@ -56,7 +56,7 @@
 	fmt.Fprintf(&text, "%s:\n", section)
 	for i := range number {
 		line := fmt.Sprintf(format, i)
-		if text.Len()+len(line) > parser.TextBytes-100 {
+		if text.Len()+len(line) > parser.MaxTextBytes-100 {
 			break
 		}
 		text.WriteString(line)
--- a/parser/parser.go
+++ b/parser/parser.go
@@ -49,8 +49,8 @@
 
 // parse decodes a text of more than whole values in parts of size values.
 func parse(text []byte, whole, size int) (Subtree, []sycamorerun.Fault) {
-	if len(text) > TextBytes {
-		return Subtree{}, one(CodeTooLong, "", "%d bytes are more than %d", len(text), TextBytes)
+	if len(text) > MaxTextBytes {
+		return Subtree{}, one(CodeTooLong, "", "%d bytes are more than %d", len(text), MaxTextBytes)
 	}
 	if !utf8.Valid(text) {
 		return Subtree{}, one(CodeNotUTF8, "", "the text is not UTF-8")
--- a/parser/parser_test.go
+++ b/parser/parser_test.go
@@ -92,7 +92,7 @@
 		"empty":             {"", "empty", "", "0"},
 		"comment only":      {"# nothing", "empty", "", "0"},
 		"not utf-8":         {"team: \xff", "not-utf8", "", "0"},
-		"oversize":          {"team: a #" + strings.Repeat("x", parser.TextBytes), "too-long", "", "0"},
+		"oversize":          {"team: a #" + strings.Repeat("x", parser.MaxTextBytes), "too-long", "", "0"},
 		"syntax":            {"team: a\nroutes: [", "syntax", "", "2"},
 		"two documents":     {"team: a\n---\nteam: b", "several-documents", "", "2"},
 		"bad second":        {"team: a\n---\n[", "syntax", "", "3"},
