--- a/node/acceptor/limits.go
+++ b/node/acceptor/limits.go
@@ -15,7 +15,7 @@
 // Limits of the tree. The compressed tree has to fit one store value.
 const (
 	MaxTreeBytes = validator.TreeBytes
-	MaxItemBytes = parser.ItemBytes
+	MaxItemBytes = parser.MaxItemBytes
 )
 
 // counts bounds the items of each kind.
--- a/parser/field.go
+++ b/parser/field.go
@@ -15,8 +15,8 @@
 	// MaxTextBytes bounds a settings file. The YAML nodes of a text take many
 	// times its size in memory, and a node has a budget of 64 MB.
 	MaxTextBytes = 1 << 20
-	// ItemBytes bounds one item as JSON.
-	ItemBytes = 64 << 10
+	// MaxItemBytes bounds one item as JSON.
+	MaxItemBytes = 64 << 10
 	// Teams, Services and Routes bound the items of each kind in the tree.
 	Teams    = 512
 	Services = 1024
--- a/parser/parser.go
+++ b/parser/parser.go
@@ -255,8 +255,8 @@
 	if err != nil {
 		panic(fmt.Sprintf("marshal %T: %s", object, err))
 	}
-	if len(item) > ItemBytes {
-		r.fault(CodeTooLarge, in.at, in.value, "%d bytes are more than %d", len(item), ItemBytes)
+	if len(item) > MaxItemBytes {
+		r.fault(CodeTooLarge, in.at, in.value, "%d bytes are more than %d", len(item), MaxItemBytes)
 		return
 	}
 	if len(r.faults) == 0 {
--- a/parser/parser_test.go
+++ b/parser/parser_test.go
@@ -221,7 +221,7 @@
 		"duration form":   {"a/service/s", strings.Replace(service, `"2s"`, `"2000ms"`, 1), "malformed"},
 		"bounds":          {"a/service/s", strings.Replace(service, `"slots":6`, `"slots":0`, 1), "out-of-bounds"},
 		"fine duration":   {"a/service/s", strings.Replace(service, `"2s"`, `"2.0000001s"`, 1), "out-of-bounds"},
-		"too large":       {"a/service/s", strings.Repeat(" ", parser.ItemBytes) + service, "too-large"},
+		"too large":       {"a/service/s", strings.Repeat(" ", parser.MaxItemBytes) + service, "too-large"},
 		"not utf-8 value": {"a/hold", "{\"operator\":\"ann\",\"reason\":\"\xff\",\"since\":\"2026-01-02T03:04:05Z\"}", "malformed"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/parser/verify.go
+++ b/parser/verify.go
@@ -20,8 +20,8 @@
 	if faults != nil {
 		return nil, faults
 	}
-	if len(item) > ItemBytes {
-		return nil, one(CodeTooLarge, string(path), "%d bytes are more than %d", len(item), ItemBytes)
+	if len(item) > MaxItemBytes {
+		return nil, one(CodeTooLarge, string(path), "%d bytes are more than %d", len(item), MaxItemBytes)
 	}
 	if err := json.Unmarshal(item, object); err != nil {
 		return nil, one(CodeMalformed, string(path), "not the JSON of its kind: %s", err)
--- a/validator/validator_test.go
+++ b/validator/validator_test.go
@@ -52,7 +52,7 @@
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 70 {
-		large[sycamorerun.Path(fmt.Sprintf("a/service/l%d", i))] = make(sycamorerun.Item, parser.ItemBytes)
+		large[sycamorerun.Path(fmt.Sprintf("a/service/l%d", i))] = make(sycamorerun.Item, parser.MaxItemBytes)
 		item := make(sycamorerun.Item, 20<<10)
 		for at := range item {
 			item[at] = byte(random.Uint32())
