--- a/node/acceptor/limits.go
+++ b/node/acceptor/limits.go
@@ -20,7 +20,7 @@
 
 // counts bounds the items of each kind.
 var counts = map[string]int{
-	sycamorerun.KindTeam:    parser.Teams,
+	sycamorerun.KindTeam:    parser.MaxTeams,
 	sycamorerun.KindService: parser.Services,
 	sycamorerun.KindRoute:   parser.Routes,
 }
--- a/parser/field.go
+++ b/parser/field.go
@@ -17,8 +17,8 @@
 	MaxTextBytes = 1 << 20
 	// MaxItemBytes bounds one item as JSON.
 	MaxItemBytes = 64 << 10
-	// Teams, Services and Routes bound the items of each kind in the tree.
-	Teams    = 512
+	// MaxTeams, Services and Routes bound the items of each kind in the tree.
+	MaxTeams = 512
 	Services = 1024
 	Routes   = 4096
 	// HeaderBytes bounds what the limits can set for a header. A header travels
@@ -233,7 +233,7 @@
 // frame has the fields of the file itself, which hold the items.
 var frame = []Field{
 	{Object: objectFile, Name: "team", Type: "text", Required: true, Format: nameFormat},
-	{Object: objectFile, Name: "teams", Type: "map", Unit: "teams", High: Teams, Format: nameFormat},
+	{Object: objectFile, Name: "teams", Type: "map", Unit: "teams", High: MaxTeams, Format: nameFormat},
 	{Object: objectFile, Name: "services", Type: "map", Unit: "services", High: Services, Format: nameFormat},
 	{Object: objectFile, Name: "routes", Type: "map", Unit: "routes", High: Routes, Format: nameFormat},
 	{Object: objectFile, Name: "limits", Type: "map", Unit: "fields", High: 4},
--- a/validator/validator.go
+++ b/validator/validator.go
@@ -23,7 +23,7 @@
 	PackedBytes = 900 << 10
 	// items is the most items that a tree of legal counts can have: a hold for
 	// each team and for the administrators, and the limits.
-	items = 2*parser.Teams + 2 + parser.Services + parser.Routes
+	items = 2*parser.MaxTeams + 2 + parser.Services + parser.Routes
 )
 
 // Codes of the faults that only the whole tree shows. Faults of single items
@@ -217,7 +217,7 @@
 		kind string
 		most int
 	}{
-		{sycamorerun.KindTeam, parser.Teams},
+		{sycamorerun.KindTeam, parser.MaxTeams},
 		{sycamorerun.KindService, parser.Services},
 		{sycamorerun.KindRoute, parser.Routes},
 	} {
