--- a/node/acceptor/limits.go
+++ b/node/acceptor/limits.go
@@ -21,7 +21,7 @@
 // counts bounds the items of each kind.
 var counts = map[string]int{
 	sycamorerun.KindTeam:    parser.MaxTeams,
-	sycamorerun.KindService: parser.Services,
+	sycamorerun.KindService: parser.MaxServices,
 	sycamorerun.KindRoute:   parser.Routes,
 }
 
--- a/parser/memory_test.go
+++ b/parser/memory_test.go
@@ -172,7 +172,7 @@
 		"second document":     {"team: a\n---\nteam: b\n", "several-documents", "", 2},
 		"unequal indentation": {"team: a\nservices:\n    s: {}\n  t: {}\n", "too-many", "services", 4},
 		"list":                {"team: a\nservices:\n- s\n", "too-many", "", 3},
-		"too many services":   {"team: a\n" + many("services", parser.Services+1, "  s%d: {}\n"), "too-many", "services", parser.Services + 3},
+		"too many services":   {"team: a\n" + many("services", parser.MaxServices+1, "  s%d: {}\n"), "too-many", "services", parser.MaxServices + 3},
 		"comment only":        {"# nothing", "empty", "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/parser/parser_test.go
+++ b/parser/parser_test.go
@@ -85,7 +85,7 @@
 	route := func(text string) string { return "team: a\nroutes:\n  r:\n    split: [{service: s}]\n    " + text }
 	split := func(text string) string { return "team: a\nroutes:\n  r:\n    split: " + text }
 	many := strings.Builder{}
-	for i := range parser.Services + 1 {
+	for i := range parser.MaxServices + 1 {
 		many.WriteString("  s" + strconv.Itoa(i) + ": {}\n")
 	}
 	for name, test := range map[string]struct{ text, code, path, line string }{
--- a/validator/validator.go
+++ b/validator/validator.go
@@ -23,7 +23,7 @@
 	PackedBytes = 900 << 10
 	// items is the most items that a tree of legal counts can have: a hold for
 	// each team and for the administrators, and the limits.
-	items = 2*parser.MaxTeams + 2 + parser.Services + parser.Routes
+	items = 2*parser.MaxTeams + 2 + parser.MaxServices + parser.Routes
 )
 
 // Codes of the faults that only the whole tree shows. Faults of single items
@@ -218,7 +218,7 @@
 		most int
 	}{
 		{sycamorerun.KindTeam, parser.MaxTeams},
-		{sycamorerun.KindService, parser.Services},
+		{sycamorerun.KindService, parser.MaxServices},
 		{sycamorerun.KindRoute, parser.Routes},
 	} {
 		if count := c.counts[limit.kind]; count > limit.most {
--- a/validator/validator_test.go
+++ b/validator/validator_test.go
@@ -47,7 +47,7 @@
 	split := []sycamorerun.Target{{Service: "s", Weight: 1}}
 	operators := sycamorerun.Item(`{"mode":"flow","operators":[{"name":"ann","hash":"sha256:` + strings.Repeat("0", 64) + `"}]}`)
 	many, large, packed := items{}, items{}, items{}
-	for i := range parser.Services {
+	for i := range parser.MaxServices {
 		many[sycamorerun.Path(fmt.Sprintf("a/service/s%d", i))] = sycamorerun.Item(service)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
