--- a/node/acceptor/limits.go
+++ b/node/acceptor/limits.go
@@ -22,7 +22,7 @@
 var counts = map[string]int{
 	sycamorerun.KindTeam:    parser.MaxTeams,
 	sycamorerun.KindService: parser.MaxServices,
-	sycamorerun.KindRoute:   parser.Routes,
+	sycamorerun.KindRoute:   parser.MaxRoutes,
 }
 
 // limits returns the limits that items exceed.
--- a/parser/field.go
+++ b/parser/field.go
@@ -20,7 +20,7 @@
 	// MaxTeams, Services and Routes bound the items of each kind in the tree.
 	MaxTeams    = 512
 	MaxServices = 1024
-	Routes      = 4096
+	MaxRoutes   = 4096
 	// HeaderBytes bounds what the limits can set for a header. A header travels
 	// between nodes in one frame.
 	HeaderBytes = 1 << 20
@@ -235,7 +235,7 @@
 	{Object: objectFile, Name: "team", Type: "text", Required: true, Format: nameFormat},
 	{Object: objectFile, Name: "teams", Type: "map", Unit: "teams", High: MaxTeams, Format: nameFormat},
 	{Object: objectFile, Name: "services", Type: "map", Unit: "services", High: MaxServices, Format: nameFormat},
-	{Object: objectFile, Name: "routes", Type: "map", Unit: "routes", High: Routes, Format: nameFormat},
+	{Object: objectFile, Name: "routes", Type: "map", Unit: "routes", High: MaxRoutes, Format: nameFormat},
 	{Object: objectFile, Name: "limits", Type: "map", Unit: "fields", High: 4},
 }
 
--- a/validator/validator.go
+++ b/validator/validator.go
@@ -23,7 +23,7 @@
 	PackedBytes = 900 << 10
 	// items is the most items that a tree of legal counts can have: a hold for
 	// each team and for the administrators, and the limits.
-	items = 2*parser.MaxTeams + 2 + parser.MaxServices + parser.Routes
+	items = 2*parser.MaxTeams + 2 + parser.MaxServices + parser.MaxRoutes
 )
 
 // Codes of the faults that only the whole tree shows. Faults of single items
@@ -219,7 +219,7 @@
 	}{
 		{sycamorerun.KindTeam, parser.MaxTeams},
 		{sycamorerun.KindService, parser.MaxServices},
-		{sycamorerun.KindRoute, parser.Routes},
+		{sycamorerun.KindRoute, parser.MaxRoutes},
 	} {
 		if count := c.counts[limit.kind]; count > limit.most {
 			c.fault(CodeTooMany, "", "%d items of kind %s are more than %d", count, limit.kind, limit.most)
