--- a/node/forwarder/limits.go
+++ b/node/forwarder/limits.go
@@ -14,7 +14,7 @@
 
 // maxHeaderBytes bounds the header of a request regardless of the limits. The
 // server that reads it has a fixed bound, see Server.
-const maxHeaderBytes = parser.HeaderBytes
+const maxHeaderBytes = parser.MaxHeaderBytes
 
 // DefaultLimits are the limits of a new forwarder.
 var DefaultLimits = sycamorerun.Limits{Header: defaultMaxHeaderBytes, Body: 1 << 30}
--- a/parser/field.go
+++ b/parser/field.go
@@ -21,9 +21,9 @@
 	MaxTeams    = 512
 	MaxServices = 1024
 	MaxRoutes   = 4096
-	// HeaderBytes bounds what the limits can set for a header. A header travels
+	// MaxHeaderBytes bounds what the limits can set for a header. A header travels
 	// between nodes in one frame.
-	HeaderBytes = 1 << 20
+	MaxHeaderBytes = 1 << 20
 	// BodyBytes bounds what the limits can set for a body.
 	BodyBytes = 1 << 40
 	// MaxWait and Idle bound what the limits can set for the time of a header and
@@ -211,7 +211,7 @@
 		at: of(func(t *sycamorerun.Target) any { return &t.Weight }),
 	},
 	{
-		Object: objectLimits, Name: "header", Type: "integer", Unit: "bytes", Default: "0", Low: 0, High: HeaderBytes,
+		Object: objectLimits, Name: "header", Type: "integer", Unit: "bytes", Default: "0", Low: 0, High: MaxHeaderBytes,
 		at: of(func(l *sycamorerun.Limits) any { return &l.Header }),
 	},
 	{
