--- a/node/runner/settings.go
+++ b/node/runner/settings.go
@@ -89,7 +89,7 @@
 	loader.Add(l, &s.RetrySlack, "retry-slack", "64", loader.Float(0, 1e6), "retries of the fleet in a window beyond the ratio, for each service; divided among the nodes")
 	loader.Add(l, &s.AnnouncePeriod, "announce-period", "1500ms", loader.Duration(100*time.Millisecond, time.Minute), "time between two announcements of the upstream; it lapses after three", loader.Reloadable)
 	loader.Add(l, &s.MaxHeader, "max-header", "65536", loader.Int(1024, parser.MaxHeaderBytes), "largest request header in bytes, unless the configuration has limits", loader.Reloadable)
-	loader.Add(l, &s.MaxBody, "max-body", "1073741824", loader.Int(0, parser.BodyBytes), "largest request body in bytes, unless the configuration has limits", loader.Reloadable)
+	loader.Add(l, &s.MaxBody, "max-body", "1073741824", loader.Int(0, parser.MaxBodyBytes), "largest request body in bytes, unless the configuration has limits", loader.Reloadable)
 	loader.Add(l, &s.HeaderTimeout, "header-timeout", "10s", loader.Duration(time.Millisecond, parser.MaxWait), "time for a request's header, unless the configuration has limits", loader.Reloadable)
 	loader.Add(l, &s.IdleTimeout, "idle-timeout", "2m", loader.Duration(time.Millisecond, parser.MaxIdle), "time for which a caller's connection without a request is kept, unless the configuration has limits", loader.Reloadable)
 	loader.Add(l, &s.LogLevel, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "least level logged", loader.Reloadable)
--- a/parser/field.go
+++ b/parser/field.go
@@ -24,8 +24,8 @@
 	// MaxHeaderBytes bounds what the limits can set for a header. A header travels
 	// between nodes in one frame.
 	MaxHeaderBytes = 1 << 20
-	// BodyBytes bounds what the limits can set for a body.
-	BodyBytes = 1 << 40
+	// MaxBodyBytes bounds what the limits can set for a body.
+	MaxBodyBytes = 1 << 40
 	// MaxWait and Idle bound what the limits can set for the time of a header and
 	// of a connection without a request.
 	MaxWait = time.Hour
@@ -215,7 +215,7 @@
 		at: of(func(l *sycamorerun.Limits) any { return &l.Header }),
 	},
 	{
-		Object: objectLimits, Name: "body", Type: "integer", Unit: "bytes", Default: "0", Low: 0, High: BodyBytes,
+		Object: objectLimits, Name: "body", Type: "integer", Unit: "bytes", Default: "0", Low: 0, High: MaxBodyBytes,
 		at: of(func(l *sycamorerun.Limits) any { return &l.Body }),
 	},
 	{
