--- a/parser/field.go
+++ b/parser/field.go
@@ -30,8 +30,8 @@
 	// of a connection without a request.
 	MaxWait = time.Hour
 	MaxIdle = 24 * time.Hour
-	// Aliases bounds the anchors and aliases of a settings file.
-	Aliases = 64
+	// MaxAliases bounds the anchors and aliases of a settings file.
+	MaxAliases = 64
 	// Faults bounds how many faults are reported at once.
 	Faults = 100
 )
--- a/parser/parser.go
+++ b/parser/parser.go
@@ -79,7 +79,7 @@
 	if faults != nil {
 		return nil, faults
 	}
-	if faults := tooManyAliases("", references(root, nil), Aliases); faults != nil {
+	if faults := tooManyAliases("", references(root, nil), MaxAliases); faults != nil {
 		return nil, faults
 	}
 	return root, nil
@@ -161,7 +161,7 @@
 	if len(lines) <= left {
 		return nil
 	}
-	faults := one(CodeTooManyAliases, at, "more than %d anchors and aliases", Aliases)
+	faults := one(CodeTooManyAliases, at, "more than %d anchors and aliases", MaxAliases)
 	faults[0].Line = lines[left]
 	return faults
 }
--- a/parser/parser_test.go
+++ b/parser/parser_test.go
@@ -151,7 +151,7 @@
 		"no weight":         {split("[{service: s, weight: 0}]"), "out-of-bounds", "routes.r.split", "4"},
 		"mode":              {"team: admin\nteams: {a: {mode: x}}", "bad-value", "teams.a.mode", "2"},
 		"operator hash":     {strings.Replace(admins, "sha256:", "md5:", 1), "bad-value", "teams.quoting.operators[0].hash", "3"},
-		"many aliases":      {"team: &x a\nservices: {" + strings.Repeat("? *x ,", parser.Aliases) + "}", "too-many-aliases", "", "2"},
+		"many aliases":      {"team: &x a\nservices: {" + strings.Repeat("? *x ,", parser.MaxAliases) + "}", "too-many-aliases", "", "2"},
 		"recursive alias":   {"team: a\nservices: &x {s: *x}", "unknown-field", "services.s.s", "2"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/parser/part.go
+++ b/parser/part.go
@@ -192,7 +192,7 @@
 		return nil, faults
 	}
 	lines := references(mapping, nil)
-	if faults := tooManyAliases(p.section, lines, Aliases-d.references); faults != nil {
+	if faults := tooManyAliases(p.section, lines, MaxAliases-d.references); faults != nil {
 		return nil, faults
 	}
 	if d.references += len(lines); len(lines) > 0 {
@@ -210,7 +210,7 @@
 	for _, other := range parts {
 		total += values(other.text)
 	}
-	if d.repeats++; d.repeats > Aliases || total > Values {
+	if d.repeats++; d.repeats > MaxAliases || total > Values {
 		return nil, p.place(one(CodeTooManyAliases, p.path(), "the anchors of the file and the items with them are too large together"))
 	}
 	return decodeAll(parts)
