--- a/parser/field.go
+++ b/parser/field.go
@@ -32,8 +32,8 @@
 	MaxIdle = 24 * time.Hour
 	// MaxAliases bounds the anchors and aliases of a settings file.
 	MaxAliases = 64
-	// Faults bounds how many faults are reported at once.
-	Faults = 100
+	// MaxFaults bounds how many faults are reported at once.
+	MaxFaults = 100
 )
 
 // Field is a row of the table of fields: its default and bounds.
--- a/parser/parser_test.go
+++ b/parser/parser_test.go
@@ -178,7 +178,7 @@
 	}
 	is.Equal(codes, []string{"out-of-bounds", "wrong-type", "unknown-field", "wrong-type"})
 	_, faults = parser.Parse([]byte("team: a\nroutes:\n  r:\n    split:\n" + strings.Repeat("    - {}\n", 200)))
-	is.Equal(len(faults), parser.Faults)
+	is.Equal(len(faults), parser.MaxFaults)
 }
 
 // TestParseExpansion guards the bound on what aliases expand to: 60 routes with
@@ -196,7 +196,7 @@
 	}
 	_, faults := parser.Parse([]byte(text.String()))
 	is.True(slices.ContainsFunc(faults, func(fault sycamorerun.Fault) bool { return fault.Code == "too-many-aliases" }))
-	is.True(len(faults) <= parser.Faults)
+	is.True(len(faults) <= parser.MaxFaults)
 }
 
 // TestDecode guards against items from the network that no file can produce.
--- a/parser/reader.go
+++ b/parser/reader.go
@@ -42,12 +42,12 @@
 }
 
 func (r *reader) full() bool {
-	return len(r.faults) >= Faults || r.visits > visitLimit
+	return len(r.faults) >= MaxFaults || r.visits > visitLimit
 }
 
 func (r *reader) fault(code, at string, node *yaml.Node, format string, args ...any) {
 	r.failed[at] = true
-	if len(r.faults) < Faults {
+	if len(r.faults) < MaxFaults {
 		fault := one(code, at, format, args...)[0]
 		fault.Line = node.Line
 		r.faults = append(r.faults, fault)
@@ -57,7 +57,7 @@
 // take adds faults of the rules and finds their lines.
 func (r *reader) take(faults []sycamorerun.Fault) {
 	for _, fault := range faults {
-		if len(r.faults) >= Faults {
+		if len(r.faults) >= MaxFaults {
 			return
 		}
 		if r.failed[fault.Path] {
--- a/validator/validator.go
+++ b/validator/validator.go
@@ -104,7 +104,7 @@
 }
 
 func (c *check) add(fault sycamorerun.Fault) {
-	if len(c.faults) < parser.Faults {
+	if len(c.faults) < parser.MaxFaults {
 		c.faults = append(c.faults, fault)
 	}
 }
--- a/validator/validator_test.go
+++ b/validator/validator_test.go
@@ -108,7 +108,7 @@
 	for i := range 1000 {
 		tree[sycamorerun.Path(fmt.Sprintf("a/service/%d", i))] = nil
 	}
-	is.Equal(len(validator.Check(tree)), parser.Faults)
+	is.Equal(len(validator.Check(tree)), parser.MaxFaults)
 }
 
 // FuzzCheck guards against panics on a tree from the network, and checks that
