--- a/parser/parser.go
+++ b/parser/parser.go
@@ -44,7 +44,7 @@
 // the subtree or at least one fault, at most Faults of them in the order of
 // the text. A text of more than Values values is decoded in parts.
 func Parse(text []byte) (Subtree, []sycamorerun.Fault) {
-	return parse(text, Values, partValues)
+	return parse(text, MaxValues, partValues)
 }
 
 // parse decodes a text of more than whole values in parts of size values.
--- a/parser/part.go
+++ b/parser/part.go
@@ -10,11 +10,11 @@
 	"sycamorerun"
 )
 
-// Values bounds the YAML values that are in memory at once, by the estimate of
+// MaxValues bounds the YAML values that are in memory at once, by the estimate of
 // values. The decoder takes up to 350 bytes for each, and all of them came to
 // 181 MB for a hostile text of 1 MiB. The largest item has about 1,000 values,
 // and 5,000 more characters in quotes that the estimate can't tell from them.
-const Values = 1 << 14
+const MaxValues = 1 << 14
 
 // part is a piece of a text that is decoded alone: one entry of the file or
 // one item of a section.
@@ -166,7 +166,7 @@
 }
 
 func tooDense(at string) []sycamorerun.Fault {
-	return one(CodeTooMany, at, "more than %d values and comments together; begin each service, route or team on a line of its own, with equal indentation", Values)
+	return one(CodeTooMany, at, "more than %d values and comments together; begin each service, route or team on a line of its own, with equal indentation", MaxValues)
 }
 
 // partDecoder decodes the parts of one text in their order.
@@ -181,7 +181,7 @@
 // decode returns the mapping that part consists of, with the lines of the
 // whole text.
 func (d *partDecoder) decode(p part) (*yaml.Node, []sycamorerun.Fault) {
-	if values(p.text) > Values {
+	if values(p.text) > MaxValues {
 		return nil, p.place(tooDense(p.path()))
 	}
 	mapping, faults := decodeAll([]part{p})
@@ -210,7 +210,7 @@
 	for _, other := range parts {
 		total += values(other.text)
 	}
-	if d.repeats++; d.repeats > MaxAliases || total > Values {
+	if d.repeats++; d.repeats > MaxAliases || total > MaxValues {
 		return nil, p.place(one(CodeTooManyAliases, p.path(), "the anchors of the file and the items with them are too large together"))
 	}
 	return decodeAll(parts)
