--- a/node/acceptor/limits.go
+++ b/node/acceptor/limits.go
@@ -14,7 +14,7 @@
 
 // Limits of the tree. The compressed tree has to fit one store value.
 const (
-	MaxTreeBytes = validator.TreeBytes
+	MaxTreeBytes = validator.MaxTreeBytes
 	MaxItemBytes = parser.MaxItemBytes
 )
 
--- a/validator/validator.go
+++ b/validator/validator.go
@@ -16,8 +16,8 @@
 
 // Limits of the whole tree.
 const (
-	// TreeBytes bounds the paths and items of the tree.
-	TreeBytes = 4 << 20
+	// MaxTreeBytes bounds the paths and items of the tree.
+	MaxTreeBytes = 4 << 20
 	// PackedBytes bounds the compressed snapshot, which must fit into one value
 	// of the store.
 	PackedBytes = 900 << 10
@@ -119,8 +119,8 @@
 	for path, item := range tree {
 		total += len(path) + len(item)
 	}
-	if total > TreeBytes {
-		c.fault(CodeTooLarge, "", "the tree's %d bytes are more than %d", total, TreeBytes)
+	if total > MaxTreeBytes {
+		c.fault(CodeTooLarge, "", "the tree's %d bytes are more than %d", total, MaxTreeBytes)
 		return
 	}
 	// Packing never makes a snapshot larger, so a small one needs no packing.
