--- a/validator/validator.go
+++ b/validator/validator.go
@@ -18,9 +18,9 @@
 const (
 	// MaxTreeBytes bounds the paths and items of the tree.
 	MaxTreeBytes = 4 << 20
-	// PackedBytes bounds the compressed snapshot, which must fit into one value
+	// MaxPackedBytes bounds the compressed snapshot, which must fit into one value
 	// of the store.
-	PackedBytes = 900 << 10
+	MaxPackedBytes = 900 << 10
 	// items is the most items that a tree of legal counts can have: a hold for
 	// each team and for the administrators, and the limits.
 	items = 2*parser.MaxTeams + 2 + parser.MaxServices + parser.MaxRoutes
@@ -125,14 +125,14 @@
 	}
 	// Packing never makes a snapshot larger, so a small one needs no packing.
 	snapshot := encoder.FromTree(sycamorerun.Tree{Items: tree}, sycamorerun.Hash{})
-	if proto.Size(snapshot) <= PackedBytes {
+	if proto.Size(snapshot) <= MaxPackedBytes {
 		return
 	}
 	packed, err := encoder.Pack(snapshot)
 	if err != nil {
 		c.fault(parser.CodeMalformed, "", "the tree can't be encoded: %s", err)
-	} else if len(packed) > PackedBytes {
-		c.fault(CodeTooLarge, "", "the tree's %d bytes after compression are more than %d", len(packed), PackedBytes)
+	} else if len(packed) > MaxPackedBytes {
+		c.fault(CodeTooLarge, "", "the tree's %d bytes after compression are more than %d", len(packed), MaxPackedBytes)
 	}
 }
 
