--- a/encoder/limits_test.go
+++ b/encoder/limits_test.go
@@ -31,7 +31,7 @@
 // is decompressed.
 func TestPlainLimit(t *testing.T) {
 	is := is.New(t)
-	for size, fits := range map[int]bool{encoder.PlainBytes / 2: true, encoder.PlainBytes + 1: false} {
+	for size, fits := range map[int]bool{encoder.MaxPlainBytes / 2: true, encoder.MaxPlainBytes + 1: false} {
 		data, err := encoder.Pack(&encoder.Item{Json: make([]byte, size)})
 		is.NoErr(err)
 		is.True(len(data) < size/1000)
--- a/encoder/pack.go
+++ b/encoder/pack.go
@@ -12,12 +12,12 @@
 	"sycamorerun"
 )
 
-// PlainBytes bounds the size of a decompressed message.
-const PlainBytes = 8 << 20
+// MaxPlainBytes bounds the size of a decompressed message.
+const MaxPlainBytes = 8 << 20
 
 var (
 	compressor, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
-	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(PlainBytes))
+	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxPlainBytes))
 )
 
 // Pack marshals message and compresses it when that is smaller.
