--- a/ctl/commander/change.go
+++ b/ctl/commander/change.go
@@ -30,7 +30,7 @@
 		Example: "  srctl hold quoting --reason \"harvest week\"\n  srctl hold quoting --reason \"incident 12\" --until 2h",
 		Args:    cobra.ExactArgs(1),
 		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
-			payload := &settings.SubmitPayload{Kind: string(sycamorerun.Place), Reason: &reason}
+			payload := &settings.SubmitPayload{Kind: string(sycamorerun.PlaceHold), Reason: &reason}
 			if until != "" {
 				end, err := parseUntil(c.Now(), until)
 				if err != nil {
--- a/node/acceptor/commit_test.go
+++ b/node/acceptor/commit_test.go
@@ -135,7 +135,7 @@
 			for i := range round {
 				b.Submit(t.Context(), apply(fmt.Sprint(i), "other", i))
 			}
-			hold := b.Submit(t.Context(), sycamorerun.Change{ID: "hold", Kind: sycamorerun.Place, Team: "flow"})
+			hold := b.Submit(t.Context(), sycamorerun.Change{ID: "hold", Kind: sycamorerun.PlaceHold, Team: "flow"})
 			store, stale := f.store(), 0
 			get := store.Get
 			key := persister.LogKey(hold.Version + 1)
--- a/node/manager/settings.go
+++ b/node/manager/settings.go
@@ -59,7 +59,7 @@
 	switch change.Kind {
 	case sycamorerun.Apply:
 		change.Items, faults = s.parse(payload.Team, value(payload.Settings))
-	case sycamorerun.Place:
+	case sycamorerun.PlaceHold:
 		change.Hold, faults = s.hold(identity, payload)
 	case sycamorerun.Approve, sycamorerun.Reject:
 		change.Content, faults = parseContent(value(payload.Content))
