--- a/change.go
+++ b/change.go
@@ -7,12 +7,12 @@
 
 // Kinds of changes.
 const (
-	Apply     ChangeKind = "apply"
-	PlaceHold ChangeKind = "hold"
-	Release   ChangeKind = "release"
-	Revert    ChangeKind = "revert"
-	Approve   ChangeKind = "approve"
-	Reject    ChangeKind = "reject"
+	Apply       ChangeKind = "apply"
+	PlaceHold   ChangeKind = "hold"
+	ReleaseHold ChangeKind = "release"
+	Revert      ChangeKind = "revert"
+	Approve     ChangeKind = "approve"
+	Reject      ChangeKind = "reject"
 )
 
 // Change is an operator's request to change its team's subtree.
--- a/ctl/commander/change.go
+++ b/ctl/commander/change.go
@@ -51,7 +51,7 @@
 		Example: "  srctl release quoting",
 		Args:    cobra.ExactArgs(1),
 		RunE: c.run(func(ctx context.Context, _ *cobra.Command, args []string) error {
-			return c.teamChange(ctx, args[0], &settings.SubmitPayload{Kind: string(sycamorerun.Release)}, wait)
+			return c.teamChange(ctx, args[0], &settings.SubmitPayload{Kind: string(sycamorerun.ReleaseHold)}, wait)
 		}),
 	}
 	var base uint64
--- a/node/acceptor/commit_test.go
+++ b/node/acceptor/commit_test.go
@@ -151,7 +151,7 @@
 			a.Patience = time.Minute
 			is.Equal(a.Lookup(t.Context(), "hold"), hold)
 			stale = 3
-			b.Submit(t.Context(), sycamorerun.Change{ID: "release", Kind: sycamorerun.Release, Team: "flow"})
+			b.Submit(t.Context(), sycamorerun.Change{ID: "release", Kind: sycamorerun.ReleaseHold, Team: "flow"})
 			accepted := b.Submit(t.Context(), apply("one", "flow", 1))
 			is.Equal(accepted.Version, hold.Version+2)
 			is.Equal(a.Submit(t.Context(), apply("one", "flow", 1)), accepted)
--- a/node/acceptor/decide.go
+++ b/node/acceptor/decide.go
@@ -60,12 +60,12 @@
 
 // checks are made in order before the new subtree is built.
 var checks = map[sycamorerun.ChangeKind][]check{
-	sycamorerun.Apply:     {teamExists, notHeld, baseUnchanged, ownPaths},
-	sycamorerun.Revert:    {teamExists, notHeld, baseUnchanged, targetKnown},
-	sycamorerun.PlaceHold: {teamExists, holdFree, holdEnds},
-	sycamorerun.Release:   {teamExists, holdPlaced},
-	sycamorerun.Approve:   {teamExists, proposalOpen, notHeld, otherOperator, contentNamed, subtreeUnchanged},
-	sycamorerun.Reject:    {teamExists, proposalOpen},
+	sycamorerun.Apply:       {teamExists, notHeld, baseUnchanged, ownPaths},
+	sycamorerun.Revert:      {teamExists, notHeld, baseUnchanged, targetKnown},
+	sycamorerun.PlaceHold:   {teamExists, holdFree, holdEnds},
+	sycamorerun.ReleaseHold: {teamExists, holdPlaced},
+	sycamorerun.Approve:     {teamExists, proposalOpen, notHeld, otherOperator, contentNamed, subtreeUnchanged},
+	sycamorerun.Reject:      {teamExists, proposalOpen},
 }
 
 // Decide returns what becomes of a request on the state of view at now. The
@@ -109,7 +109,7 @@
 		return faults
 	}
 	// A hold refers to nothing, and releasing one must stay possible.
-	if change.Kind == sycamorerun.PlaceHold || change.Kind == sycamorerun.Release {
+	if change.Kind == sycamorerun.PlaceHold || change.Kind == sycamorerun.ReleaseHold {
 		return nil
 	}
 	return r.Validate(sycamorerun.Tree{Version: view.Tree.Version + 1, Items: items})
@@ -174,7 +174,7 @@
 			panic(fmt.Sprintf("acceptor: hold does not marshal: %v", err))
 		}
 		before[held] = item
-	case sycamorerun.Release:
+	case sycamorerun.ReleaseHold:
 		delete(before, held)
 	}
 	return before
