--- a/entry.go
+++ b/entry.go
@@ -16,8 +16,8 @@
 	Time       time.Time
 }
 
-// Basis returns the version that the difference starts from.
-func (e Entry) Basis() Version {
+// BaseVersion returns the version that the difference starts from.
+func (e Entry) BaseVersion() Version {
 	if e.Base > 0 || e.Version == 0 {
 		return e.Base
 	}
--- a/node/applier/applier.go
+++ b/node/applier/applier.go
@@ -109,8 +109,8 @@
 	switch {
 	case entry.Version <= current.Tree.Version:
 		return nil
-	case entry.Basis() != current.Tree.Version:
-		return errors.Wrapf(ErrGap, "version %s on top of %s after %s", entry.Version, entry.Basis(), current.Tree.Version)
+	case entry.BaseVersion() != current.Tree.Version:
+		return errors.Wrapf(ErrGap, "version %s on top of %s after %s", entry.Version, entry.BaseVersion(), current.Tree.Version)
 	}
 	tree := differ.Apply(current.Tree, entry.Version, entry.Difference)
 	return a.replace(now, tree, entry.Hash)
--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -298,7 +298,7 @@
 	if entry.Version <= held {
 		return nil
 	}
-	if base := entry.Basis(); base != held {
+	if base := entry.BaseVersion(); base != held {
 		if tree, ok := d.recentTree(base); ok {
 			return d.installWithEntry(now, differ.Apply(tree, entry.Version, entry.Difference), entry.Hash, entry.Time, source)
 		}
--- a/node/distributor/serve.go
+++ b/node/distributor/serve.go
@@ -105,7 +105,7 @@
 		err = d.accept(now, entry, message.GetEntry().GetData(), from)
 	}
 	switch {
-	case errors.Is(err, errGap) && entry.Basis() < d.HeldVersion():
+	case errors.Is(err, errGap) && entry.BaseVersion() < d.HeldVersion():
 		// Another watcher's entry based on this node's version may still
 		// arrive, and costs less than a snapshot.
 		d.observeVersion(now, from, version, d.pullDelay())
