--- a/incarnation.go
+++ b/incarnation.go
@@ -19,8 +19,8 @@
 // Boot returns the boot id, which stays the same for a run.
 func (i Incarnation) Boot() uint32 { return uint32(i) }
 
-// Above returns the incarnation of the same run that supersedes other.
-func (i Incarnation) Above(other Incarnation) Incarnation {
+// AdvancePast returns the incarnation of the same run that supersedes other.
+func (i Incarnation) AdvancePast(other Incarnation) Incarnation {
 	count := min(other>>bootBits+1, countMost)
 	return max(i, count<<bootBits|Incarnation(i.Boot()))
 }
--- a/node/tracker/self.go
+++ b/node/tracker/self.go
@@ -100,7 +100,7 @@
 	}
 	t.updateSelf(now, func(r *record) {
 		if in.Incarnation.Boot() != r.Incarnation.Boot() {
-			r.Incarnation = r.Incarnation.Above(in.Incarnation)
+			r.Incarnation = r.Incarnation.AdvancePast(in.Incarnation)
 			return
 		}
 		r.Incarnation = max(r.Incarnation, in.Incarnation)
--- a/node/tracker/tracker_test.go
+++ b/node/tracker/tracker_test.go
@@ -52,7 +52,7 @@
 
 // incarnation returns the incarnation with the given count and boot id.
 func incarnation(count int64, boot uint32) sycamorerun.Incarnation {
-	return sycamorerun.NewIncarnation(boot).Above(sycamorerun.Incarnation(count-1) << 32)
+	return sycamorerun.NewIncarnation(boot).AdvancePast(sycamorerun.Incarnation(count-1) << 32)
 }
 
 func instance(i int, zone string) sycamorerun.Instance {
