--- a/parser/code.go
+++ b/parser/code.go
@@ -1,6 +1,6 @@
 package parser
 
-// Codes of the faults in a settings file or an item.
+// Fault codes of a settings file or an item.
 const (
 	CodeTooLong        = "too-long"
 	CodeNotUTF8        = "not-utf8"
@@ -23,7 +23,7 @@
 	CodeBadPath        = "bad-path"
 )
 
-// Codes lists the codes of this package with their meaning.
+// Codes maps each fault code of this package to its meaning.
 var Codes = map[string]string{
 	CodeTooLong:        "the text exceeds its size limit",
 	CodeNotUTF8:        "the text is not UTF-8",
--- a/parser/export_test.go
+++ b/parser/export_test.go
@@ -2,5 +2,5 @@
 
 import "sycamorerun"
 
-// ParseParts is Parse with every item in a part of its own.
+// ParseParts is Parse with each item decoded in a separate part.
 func ParseParts(text []byte) (Subtree, []sycamorerun.Fault) { return parse(text, -1, 0) }
--- a/parser/memory_test.go
+++ b/parser/memory_test.go
@@ -13,13 +13,13 @@
 	"sycamorerun/parser"
 )
 
-// heapLimit bounds the memory of Parse at any moment, so that a node of 28 to
-// 45 MB stays below 64 MB.
+// heapLimit is the peak memory allowed for Parse. A node uses 28 to 45 MB and
+// must stay below 64 MB.
 const heapLimit = 16 << 20
 
-// peak returns the most memory in use during run beyond that before it. It
-// misses what lives for less than a millisecond.
-func peak(run func()) uint64 {
+// peakMemory returns the peak memory during run above that before it. It samples
+// once per millisecond and misses shorter peaks.
+func peakMemory(run func()) uint64 {
 	defer debug.SetGCPercent(debug.SetGCPercent(10))
 	runtime.GC()
 	var memory runtime.MemStats
@@ -27,7 +27,7 @@
 		runtime.ReadMemStats(&memory)
 		return memory.HeapAlloc + memory.StackInuse
 	}
-	before, most := used(), uint64(0)
+	before, highest := used(), uint64(0)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -36,22 +36,22 @@
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	for {
-		most = max(most, used())
+		highest = max(highest, used())
 		select {
 		case <-done:
-			return most - min(most, before)
+			return highest - min(highest, before)
 		case <-ticker.C:
 		}
 	}
 }
 
-// fill repeats unit up to the limit of a text.
-func fill(head, unit, tail string) string {
+// fillText returns a text of the maximum size that repeats unit.
+func fillText(head, unit, tail string) string {
 	return head + strings.Repeat(unit, (parser.MaxTextBytes-len(head)-len(tail))/len(unit)) + tail
 }
 
-// many writes items up to their number or the limit of a text.
-func many(section string, number int, format string) string {
+// manyItems returns a section of number items, or as many as a text may contain.
+func manyItems(section string, number int, format string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s:\n", section)
 	for i := range number {
@@ -80,65 +80,65 @@
 	return strings.Join(list, ", ")
 }
 
-// TestParseMemory guards the node's memory against hostile texts of 1 MiB, and
-// that the largest ordinary files are accepted within the same bound. Before
-// texts were decoded in parts, the shapes took up to 181 MB.
+// TestParseMemory guards against hostile texts of 1 MiB that exhaust the node's
+// memory, and against rejecting the largest valid files. Decoding these texts
+// as a whole took up to 181 MB.
 func TestParseMemory(t *testing.T) {
 	for name, test := range map[string]struct {
 		text, code, path string
 		line             int
 	}{
-		"every field": {"team: a\n" + many("services", 1024, "  s%d: {slots: 6, queue: 12, connections: 130, timeout: 2s, idle: 10s, warmup: 5s, retries: 0.2}\n") +
-			many("routes", 4096, "  r%d: {hosts: [h.example], prefix: /q, methods: [GET, PUT], headers: {x-channel: agent}, class: bulk, repeat: default, split: [{service: s, weight: 100}, {service: t}]}\n"), "", "", 0},
-		"many hosts":           {"team: a\n" + many("routes", 4096, "  r%d: {hosts: ["+hosts(64)+"], split: [{service: s}]}\n"), "", "", 0},
-		"many operators":       {"team: admin\n" + many("teams", 512, "  t%d: {operators: ["+operators(20)+"]}\n"), "", "", 0},
-		"long header":          {"team: a\n" + many("routes", 4096, "  r%d: {headers: {x: \""+strings.Repeat(",", 256)+"\"}, split: [{service: s}]}\n"), "", "", 0},
-		"flow list":            {fill("team: a\nroutes: {r: {hosts: [", "a,", "]}}"), "too-many", "routes", 2},
-		"list of an item":      {fill("team: a\nroutes:\n  r: {hosts: [", "a,", "]}"), "too-many", "routes.r", 3},
-		"lines of an item":     {fill("team: a\nroutes:\n  r:\n    hosts:\n", "    - a\n", ""), "too-many", "routes.r", 3},
-		"flow map":             {fill("team: a\nroutes: {r: {", "a,", "}}"), "too-many", "routes", 2},
-		"empty keys":           {fill("team: a\nroutes: {r: {", "? ,", "}}"), "too-many", "routes", 2},
-		"pairs in a list":      {fill("team: a\nroutes: {r: [", "a: ,", "]}"), "too-many", "routes", 2},
-		"empty lists":          {fill("team: a\nroutes: {r: [", "[],", "]}"), "too-many", "routes", 2},
+		"every field": {"team: a\n" + manyItems("services", 1024, "  s%d: {slots: 6, queue: 12, connections: 130, timeout: 2s, idle: 10s, warmup: 5s, retries: 0.2}\n") +
+			manyItems("routes", 4096, "  r%d: {hosts: [h.example], prefix: /q, methods: [GET, PUT], headers: {x-channel: agent}, class: bulk, repeat: default, split: [{service: s, weight: 100}, {service: t}]}\n"), "", "", 0},
+		"many hosts":           {"team: a\n" + manyItems("routes", 4096, "  r%d: {hosts: ["+hosts(64)+"], split: [{service: s}]}\n"), "", "", 0},
+		"many operators":       {"team: admin\n" + manyItems("teams", 512, "  t%d: {operators: ["+operators(20)+"]}\n"), "", "", 0},
+		"long header":          {"team: a\n" + manyItems("routes", 4096, "  r%d: {headers: {x: \""+strings.Repeat(",", 256)+"\"}, split: [{service: s}]}\n"), "", "", 0},
+		"flow list":            {fillText("team: a\nroutes: {r: {hosts: [", "a,", "]}}"), "too-many", "routes", 2},
+		"list of an item":      {fillText("team: a\nroutes:\n  r: {hosts: [", "a,", "]}"), "too-many", "routes.r", 3},
+		"lines of an item":     {fillText("team: a\nroutes:\n  r:\n    hosts:\n", "    - a\n", ""), "too-many", "routes.r", 3},
+		"flow map":             {fillText("team: a\nroutes: {r: {", "a,", "}}"), "too-many", "routes", 2},
+		"empty keys":           {fillText("team: a\nroutes: {r: {", "? ,", "}}"), "too-many", "routes", 2},
+		"pairs in a list":      {fillText("team: a\nroutes: {r: [", "a: ,", "]}"), "too-many", "routes", 2},
+		"empty lists":          {fillText("team: a\nroutes: {r: [", "[],", "]}"), "too-many", "routes", 2},
 		"keys at the bound":    {"team: a\nroutes: {r: {" + strings.Repeat("a,", parser.MaxValues-9) + "}}", "duplicate", "routes.r.a", 2},
 		"pairs at the bound":   {"team: a\nroutes: {r: [" + strings.Repeat("a: ,", parser.MaxValues/2-9) + "]}", "wrong-type", "routes.r", 2},
-		"items at the bound":   {"team: a\n" + many("routes", 4096, "  r%d: {headers: {"+strings.Repeat("? ,", parser.MaxValues/2-9)+"}}\n"), "duplicate", "routes.r0.headers.", 3},
-		"anchors at the bound": {"team: &x a\n" + many("routes", 31, "  r%d: {split: [{service: s}], hosts: [*x, &x a"+strings.Repeat(",a", 1000)+"]}\n"), "out-of-bounds", "routes.r0.hosts", 3},
-		"deep flow":            {fill("team: a\nroutes: ", "[", ""), "too-many", "routes", 2},
+		"items at the bound":   {"team: a\n" + manyItems("routes", 4096, "  r%d: {headers: {"+strings.Repeat("? ,", parser.MaxValues/2-9)+"}}\n"), "duplicate", "routes.r0.headers.", 3},
+		"anchors at the bound": {"team: &x a\n" + manyItems("routes", 31, "  r%d: {split: [{service: s}], hosts: [*x, &x a"+strings.Repeat(",a", 1000)+"]}\n"), "out-of-bounds", "routes.r0.hosts", 3},
+		"deep flow":            {fillText("team: a\nroutes: ", "[", ""), "too-many", "routes", 2},
 		"flow of 9990":         {"team: a\nroutes: " + strings.Repeat("[", 9990) + strings.Repeat("]", 9990), "wrong-type", "routes", 2},
 		"block of 9990":        {"team: a\nroutes:\n" + strings.Repeat("- ", 9990), "wrong-type", "routes", 3},
-		"deep blocks":          {fill("team: a\nroutes:\n", strings.Repeat("- ", 1000)+"\n", ""), "too-many", "", 3},
-		"block list":           {fill("team: a\nroutes:\n", "-\n", ""), "too-many", "", 3},
-		"block keys":           {fill("team: a\nroutes:\n", " a:\n", ""), "duplicate", "routes.a", 4},
-		"file keys":            {fill("team: a\n", "a:\n", ""), "unknown-field", "a", 17},
-		"question marks":       {fill("team: a\nroutes:\n", "? a\n", ""), "too-many", "", 3},
-		"line comments":        {fill("team: a\nroutes:\n", " a: #\n", ""), "duplicate", "routes.a", 4},
-		"flow comments":        {fill("team: a\nroutes: [", "a, #\n", "]"), "too-many", "", 3},
-		"comment lines":        {fill("team: a\n", "#\n\n", ""), "too-many", "team", 1},
-		"comment":              {fill("team: a #", "x", ""), "", "", 0},
-		"anchors":              {fill("team: a\nroutes: [", "&a ,", "]"), "too-many", "routes", 2},
-		"aliases":              {fill("team: &a a\nroutes: [", "*a,", "]"), "too-many", "routes", 2},
-		"aliases of items":     {"team: &a a\n" + many("routes", 4096, "  r%d: {prefix: /, class: bulk, split: [{service: *a, weight: 1}]}\n"), "too-many-aliases", "routes", 66},
+		"deep blocks":          {fillText("team: a\nroutes:\n", strings.Repeat("- ", 1000)+"\n", ""), "too-many", "", 3},
+		"block list":           {fillText("team: a\nroutes:\n", "-\n", ""), "too-many", "", 3},
+		"block keys":           {fillText("team: a\nroutes:\n", " a:\n", ""), "duplicate", "routes.a", 4},
+		"file keys":            {fillText("team: a\n", "a:\n", ""), "unknown-field", "a", 17},
+		"question marks":       {fillText("team: a\nroutes:\n", "? a\n", ""), "too-many", "", 3},
+		"line comments":        {fillText("team: a\nroutes:\n", " a: #\n", ""), "duplicate", "routes.a", 4},
+		"flow comments":        {fillText("team: a\nroutes: [", "a, #\n", "]"), "too-many", "", 3},
+		"comment lines":        {fillText("team: a\n", "#\n\n", ""), "too-many", "team", 1},
+		"comment":              {fillText("team: a #", "x", ""), "", "", 0},
+		"anchors":              {fillText("team: a\nroutes: [", "&a ,", "]"), "too-many", "routes", 2},
+		"aliases":              {fillText("team: &a a\nroutes: [", "*a,", "]"), "too-many", "routes", 2},
+		"aliases of items":     {"team: &a a\n" + manyItems("routes", 4096, "  r%d: {prefix: /, class: bulk, split: [{service: *a, weight: 1}]}\n"), "too-many-aliases", "routes", 66},
 		"aliases of a list":    {"team: a\nroutes:\n  r: {hosts: &x [" + strings.Repeat("a,", 8000) + "]}\n" + strings.Repeat("  s: {hosts: *x}\n", 60), "missing-field", "routes.r.split", 3},
-		"tags":                 {fill("team: a\nroutes: [", "! ,", "]"), "too-many", "routes", 2},
-		"quoted text":          {fill("team: \"", "\\n", "\""), "bad-name", "team", 1},
-		"block text":           {fill("team: |\n", " x\n", ""), "bad-name", "team", 1},
-		"empty lines":          {fill("team: a\n", "\n", ""), "", "", 0},
-		"documents":            {fill("team: a\n", "---\n", ""), "several-documents", "", 2},
-		"directives":           {fill("", "%TAG !a! b\n", "---\nteam: a"), "syntax", "", 1},
+		"tags":                 {fillText("team: a\nroutes: [", "! ,", "]"), "too-many", "routes", 2},
+		"quoted text":          {fillText("team: \"", "\\n", "\""), "bad-name", "team", 1},
+		"block text":           {fillText("team: |\n", " x\n", ""), "bad-name", "team", 1},
+		"empty lines":          {fillText("team: a\n", "\n", ""), "", "", 0},
+		"documents":            {fillText("team: a\n", "---\n", ""), "several-documents", "", 2},
+		"directives":           {fillText("", "%TAG !a! b\n", "---\nteam: a"), "syntax", "", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var code, path, reason string
 			var line int
-			most := peak(func() {
+			highest := peakMemory(func() {
 				_, faults := parser.Parse([]byte(test.text))
 				if len(faults) > 0 {
 					code, path, line, reason = faults[0].Code, faults[0].Path, faults[0].Line, faults[0].Reason
 				}
 			})
-			t.Logf("%d bytes of text, %.1f MB: %s", len(test.text), float64(most)/1e6, reason)
-			is.True(most < heapLimit)
+			t.Logf("%d bytes of text, %.1f MB: %s", len(test.text), float64(highest)/1e6, reason)
+			is.True(highest < heapLimit)
 			is.Equal(code, test.code)
 			is.Equal(path, test.path)
 			is.Equal(line, test.line)
@@ -146,7 +146,8 @@
 	}
 }
 
-// TestParseParts guards that a text in parts means what it means as a whole.
+// TestParseParts guards against a text that is read differently when it is
+// decoded in parts.
 func TestParseParts(t *testing.T) {
 	const wide = "{prefix: /, split: [{service: s}]}"
 	for name, test := range map[string]struct {
@@ -154,7 +155,7 @@
 		line             int
 	}{
 		"example":             {example, "", "", 0},
-		"admins":              {admins, "", "", 0},
+		"admins":              {adminExample, "", "", 0},
 		"start of document":   {"---\n# x\n" + example, "", "", 0},
 		"carriage returns":    {strings.ReplaceAll(example, "\n", "\r\n"), "", "", 0},
 		"quoted names":        {"team: a\nservices:\n  \"007\": {}\n  'null':\n    slots: 1\n", "", "", 0},
@@ -172,7 +173,7 @@
 		"second document":     {"team: a\n---\nteam: b\n", "several-documents", "", 2},
 		"unequal indentation": {"team: a\nservices:\n    s: {}\n  t: {}\n", "too-many", "services", 4},
 		"list":                {"team: a\nservices:\n- s\n", "too-many", "", 3},
-		"too many services":   {"team: a\n" + many("services", parser.MaxServices+1, "  s%d: {}\n"), "too-many", "services", parser.MaxServices + 3},
+		"too many services":   {"team: a\n" + manyItems("services", parser.MaxServices+1, "  s%d: {}\n"), "too-many", "services", parser.MaxServices + 3},
 		"comment only":        {"# nothing", "empty", "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/parser/parser_test.go
+++ b/parser/parser_test.go
@@ -31,15 +31,16 @@
       - {service: quote-desk, weight: 100}
 `
 
-const admins = `team: admin
+const adminExample = `team: admin
 teams:
-  quoting: {mode: review, operators: [{name: ann, hash: "sha256:` + digits + `"}]}
+  quoting: {mode: review, operators: [{name: ann, hash: "sha256:` + hashDigits + `"}]}
 limits: {header: 16384, idle: 60s}
 `
 
-const digits = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
+const hashDigits = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
 
-// TestParse guards the canonical form of items and their defaults.
+// TestParse guards against changes of the canonical JSON of items and of their
+// defaults.
 func TestParse(t *testing.T) {
 	service := `{"slots":6,"queue":12,"connections":130,"timeout":"2s","idle":"10s","warmup":"5s","retries":0.2}`
 	for name, test := range map[string]struct {
@@ -51,8 +52,8 @@
 			"quoting/route/quotes": `{"hosts":["quotes.example"],"prefix":"/quotes","methods":["GET"],"headers":{"x-channel":"agent"},` +
 				`"class":"interactive","repeat":"default","split":[{"service":"quote-desk","weight":100}]}`,
 		}},
-		"admin": {admins, map[sycamorerun.Path]string{
-			"admin/team/quoting": `{"mode":"review","operators":[{"name":"ann","hash":"sha256:` + digits + `"}]}`,
+		"admin": {adminExample, map[sycamorerun.Path]string{
+			"admin/team/quoting": `{"mode":"review","operators":[{"name":"ann","hash":"sha256:` + hashDigits + `"}]}`,
 			"admin/limits":       `{"header":16384,"idle":"1m0s"}`,
 		}},
 		"defaults": {"team: a\nservices: {null: }\nroutes: {r: {split: [{service: s}]}}", map[sycamorerun.Path]string{
@@ -79,7 +80,8 @@
 	}
 }
 
-// TestParseFaults guards the code, path and line of every kind of bad input.
+// TestParseFaults guards against a wrong code, path or line in the fault of each
+// kind of invalid input.
 func TestParseFaults(t *testing.T) {
 	service := func(text string) string { return "team: a\nservices:\n  s:\n    " + text }
 	route := func(text string) string { return "team: a\nroutes:\n  r:\n    split: [{service: s}]\n    " + text }
@@ -150,7 +152,7 @@
 		"duplicate target":  {split("[{service: s}, {service: s}]"), "duplicate", "routes.r.split[1].service", "4"},
 		"no weight":         {split("[{service: s, weight: 0}]"), "out-of-bounds", "routes.r.split", "4"},
 		"mode":              {"team: admin\nteams: {a: {mode: x}}", "bad-value", "teams.a.mode", "2"},
-		"operator hash":     {strings.Replace(admins, "sha256:", "md5:", 1), "bad-value", "teams.quoting.operators[0].hash", "3"},
+		"operator hash":     {strings.Replace(adminExample, "sha256:", "md5:", 1), "bad-value", "teams.quoting.operators[0].hash", "3"},
 		"many aliases":      {"team: &x a\nservices: {" + strings.Repeat("? *x ,", parser.MaxAliases) + "}", "too-many-aliases", "", "2"},
 		"recursive alias":   {"team: a\nservices: &x {s: *x}", "unknown-field", "services.s.s", "2"},
 	} {
@@ -167,8 +169,8 @@
 	}
 }
 
-// TestParseEveryFault guards that one fault does not hide the others, that
-// they are in the order of the text, and that their number is bounded.
+// TestParseEveryFault guards against a fault that hides others, faults that are
+// not in the order of the text, and an unbounded number of faults.
 func TestParseEveryFault(t *testing.T) {
 	is := is.New(t)
 	_, faults := parser.Parse([]byte("team: a\nservices:\n  s:\n    idle: 1h\n    slots: x\n    extra: 1\nroutes:\n  r: {split: 3}\n"))
@@ -181,8 +183,8 @@
 	is.Equal(len(faults), parser.MaxFaults)
 }
 
-// TestParseExpansion guards the bound on what aliases expand to: 60 routes with
-// the same 5,000 headers are 600,000 values from a text of 50 KB.
+// TestParseExpansion guards against unbounded alias expansion: 60 routes that
+// alias the same 5,000 headers expand a text of 50 KB to 600,000 values.
 func TestParseExpansion(t *testing.T) {
 	is := is.New(t)
 	var text strings.Builder
@@ -199,7 +201,8 @@
 	is.True(len(faults) <= parser.MaxFaults)
 }
 
-// TestDecode guards against items from the network that no file can produce.
+// TestDecode guards against accepting items from the network that no settings
+// file can produce.
 func TestDecode(t *testing.T) {
 	service := `{"slots":6,"queue":12,"connections":130,"timeout":"2s","idle":"10s","warmup":"5s","retries":0.2}`
 	for name, test := range map[string]struct{ path, item, code string }{
@@ -235,7 +238,7 @@
 	}
 }
 
-// roundTrip renders items and fails when they parse to anything else.
+// roundTrip renders items and fails if the result parses to different items.
 func roundTrip(t *testing.T, team string, items map[sycamorerun.Path]sycamorerun.Item) {
 	t.Helper()
 	is := is.New(t)
@@ -249,8 +252,8 @@
 	}
 }
 
-// TestRender guards texts that YAML would read as another type, and that
-// holds and foreign items do not reach a file.
+// TestRender guards against rendered texts that YAML reads as another type, and
+// against holds and items of other teams in a settings file.
 func TestRender(t *testing.T) {
 	is := is.New(t)
 	marshal := func(value any) sycamorerun.Item {
@@ -279,12 +282,11 @@
 	is.Equal(string(text), "team: a\n")
 }
 
-// FuzzParse guards against panics and hangs on any text, checks the round trip
-// of every text that is accepted, and that a text accepted in parts means the
-// same as a whole.
+// FuzzParse guards against panics and hangs on any text, accepted texts that
+// change in a round trip, and texts that are read differently in parts.
 func FuzzParse(f *testing.F) {
 	f.Add(example)
-	f.Add(admins)
+	f.Add(adminExample)
 	f.Add("team: a\nservices: &x {s: *x}")
 	f.Add("team: a\n--- {}\n...")
 	f.Add("team: &x a\nservices: # x\n  s: {}\n  t:\n    slots: 1\nroutes:\n  r: {split: [{service: *x}]}")
@@ -301,8 +303,8 @@
 	})
 }
 
-// TestSettingsPage guards docs/settings.md against a drift from the tables of
-// fields and codes.
+// TestSettingsPage guards against a docs/settings.md that differs from the tables
+// of fields and codes.
 func TestSettingsPage(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/settings.md")
--- a/parser/reader.go
+++ b/parser/reader.go
@@ -13,74 +13,77 @@
 	"sycamorerun"
 )
 
-// visitLimit bounds the nodes read, because aliases can make a small text
-// expand to any size.
-const visitLimit = 1 << 19
+// maxVisitedNodes is the maximum number of nodes that are read, since aliases
+// can expand a small text to any size.
+const maxVisitedNodes = 1 << 19
 
-// reader walks YAML nodes and collects faults.
+// reader converts YAML nodes to items and collects faults.
 type reader struct {
 	faults []sycamorerun.Fault
-	// lines has the line of every path of the present item, and of the file.
-	lines map[string]int
-	// failed has every path with a fault, so that a value that could not be
-	// read is not checked as well.
-	failed map[string]bool
-	visits int
-	// items has the parts of the sections that are decoded when they are read.
-	items   map[*yaml.Node][]part
-	decoder partDecoder
+	// lineByPath maps the paths of the current item, or of the top-level fields,
+	// to their lines.
+	lineByPath map[string]int
+	// failedPaths contains the paths of values that could not be read, so that
+	// they are not checked as well.
+	failedPaths  map[string]bool
+	visitedNodes int
+	// deferredParts contains the parts of sections that are decoded when they
+	// are read.
+	deferredParts map[*yaml.Node][]part
+	decoder       partDecoder
 }
 
 func newReader() *reader {
-	return &reader{lines: map[string]int{}, failed: map[string]bool{}, items: map[*yaml.Node][]part{}}
+	return &reader{lineByPath: map[string]int{}, failedPaths: map[string]bool{}, deferredParts: map[*yaml.Node][]part{}}
 }
 
-// pair is one key and value of a mapping.
+// pair is a key and its value in a mapping.
 type pair struct {
-	name, at   string
+	name, path string
 	key, value *yaml.Node
 }
 
-func (r *reader) full() bool {
-	return len(r.faults) >= MaxFaults || r.visits > visitLimit
+func (r *reader) limitReached() bool {
+	return len(r.faults) >= MaxFaults || r.visitedNodes > maxVisitedNodes
 }
 
-func (r *reader) fault(code, at string, node *yaml.Node, format string, args ...any) {
-	r.failed[at] = true
+func (r *reader) addFault(code, path string, node *yaml.Node, format string, args ...any) {
+	r.failedPaths[path] = true
 	if len(r.faults) < MaxFaults {
-		fault := one(code, at, format, args...)[0]
+		fault := newFaults(code, path, format, args...)[0]
 		fault.Line = node.Line
 		r.faults = append(r.faults, fault)
 	}
 }
 
-// take adds faults of the rules and finds their lines.
-func (r *reader) take(faults []sycamorerun.Fault) {
+// addFaults adds faults, except for values that could not be read, and sets
+// missing lines.
+func (r *reader) addFaults(faults []sycamorerun.Fault) {
 	for _, fault := range faults {
 		if len(r.faults) >= MaxFaults {
 			return
 		}
-		if r.failed[fault.Path] {
+		if r.failedPaths[fault.Path] {
 			continue
 		}
-		for at := fault.Path; fault.Line == 0 && at != ""; {
-			fault.Line = r.lines[at]
-			at = at[:max(strings.LastIndexAny(at, ".["), 0)]
+		for path := fault.Path; fault.Line == 0 && path != ""; {
+			fault.Line = r.lineByPath[path]
+			path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 		}
 		r.faults = append(r.faults, fault)
 	}
 }
 
-// sorted returns the faults in the order of the text.
-func (r *reader) sorted() []sycamorerun.Fault {
+// sortedFaults returns the faults sorted by line.
+func (r *reader) sortedFaults() []sycamorerun.Fault {
 	slices.SortStableFunc(r.faults, func(a, b sycamorerun.Fault) int { return a.Line - b.Line })
 	return r.faults
 }
 
-// resolve follows aliases and counts the node.
+// resolve follows aliases and counts the visited node.
 func (r *reader) resolve(node *yaml.Node) *yaml.Node {
-	if r.visits++; r.visits == visitLimit {
-		r.fault(CodeTooManyAliases, "", node, "the file expands to more than %d values", visitLimit)
+	if r.visitedNodes++; r.visitedNodes == maxVisitedNodes {
+		r.addFault(CodeTooManyAliases, "", node, "the file expands to more than %d values", maxVisitedNodes)
 	}
 	for node.Kind == yaml.AliasNode {
 		node = node.Alias
@@ -88,59 +91,60 @@
 	return node
 }
 
-// null reports whether node is an empty value, which stands for an empty map
+// isNull reports whether node is an empty value, which is read as an empty map
 // or list.
-func null(node *yaml.Node) bool {
+func isNull(node *yaml.Node) bool {
 	return node.Kind == yaml.ScalarNode && node.ShortTag() == "!!null"
 }
 
-// pairs returns the keys and values of a mapping, without duplicates, and
-// whether node is a mapping.
-func (r *reader) pairs(at string, node *yaml.Node) ([]pair, bool) {
-	return r.pairsAfter(map[string]int{}, at, node)
+// readPairs returns the pairs of a mapping without duplicate keys and reports
+// whether node is a mapping or empty.
+func (r *reader) readPairs(path string, node *yaml.Node) ([]pair, bool) {
+	return r.readContinuedPairs(map[string]int{}, path, node)
 }
 
-// pairsAfter is pairs for a mapping that continues others, whose keys have
-// the lines first.
-func (r *reader) pairsAfter(first map[string]int, at string, node *yaml.Node) ([]pair, bool) {
+// readContinuedPairs is like readPairs for a mapping that is split into parts.
+// firstLines contains the lines of the keys in the earlier parts.
+func (r *reader) readContinuedPairs(firstLines map[string]int, path string, node *yaml.Node) ([]pair, bool) {
 	mapping := r.resolve(node)
-	if null(mapping) {
+	if isNull(mapping) {
 		return nil, true
 	}
 	if mapping.Kind != yaml.MappingNode {
-		r.fault(CodeWrongType, at, node, "%s where a map belongs", describe(mapping))
+		r.addFault(CodeWrongType, path, node, "%s where a map belongs", describe(mapping))
 		return nil, false
 	}
 	var pairs []pair
-	for i := 0; i+1 < len(mapping.Content) && !r.full(); i += 2 {
+	for i := 0; i+1 < len(mapping.Content) && !r.limitReached(); i += 2 {
 		key, value := r.resolve(mapping.Content[i]), mapping.Content[i+1]
-		if key.Kind != yaml.ScalarNode || tagged(key) {
-			r.fault(CodeWrongType, at, key, "%s where a key belongs", describe(key))
+		if key.Kind != yaml.ScalarNode || hasExplicitTag(key) {
+			r.addFault(CodeWrongType, path, key, "%s where a key belongs", describe(key))
 			continue
 		}
-		found := pair{name: key.Value, at: join(at, bounded(key.Value)), key: key, value: value}
-		if line, ok := first[found.name]; ok {
-			r.fault(CodeDuplicate, found.at, key, "the key occurs twice, first on line %d", line)
+		found := pair{name: key.Value, path: joinPath(path, truncateKey(key.Value)), key: key, value: value}
+		if line, ok := firstLines[found.name]; ok {
+			r.addFault(CodeDuplicate, found.path, key, "the key occurs twice, first on line %d", line)
 			continue
 		}
-		first[found.name] = key.Line
-		r.lines[found.at] = key.Line
+		firstLines[found.name] = key.Line
+		r.lineByPath[found.path] = key.Line
 		pairs = append(pairs, found)
 	}
 	return pairs, true
 }
 
-// object reads the fields of one object and gives the others their defaults.
-func (r *reader) object(kind, at string, node *yaml.Node, object any) {
-	fields := fieldsOf[kind]
-	pairs, ok := r.pairs(at, node)
+// readObject reads the fields of an object and sets absent fields to their
+// defaults.
+func (r *reader) readObject(kind, path string, node *yaml.Node, object any) {
+	fields := fieldsByObject[kind]
+	pairs, ok := r.readPairs(path, node)
 	if !ok {
 		return
 	}
 	for _, pair := range pairs {
 		known := slices.ContainsFunc(fields, func(f Field) bool { return f.Name == pair.name })
 		if !known {
-			r.fault(CodeUnknownField, pair.at, pair.key, "the fields of a %s are %s", kind, names(fields))
+			r.addFault(CodeUnknownField, pair.path, pair.key, "the fields of a %s are %s", kind, fieldNames(fields))
 		}
 	}
 	for _, field := range fields {
@@ -148,14 +152,14 @@
 		field.setDefault(object)
 		switch {
 		case i >= 0:
-			r.value(pairs[i].at, pairs[i].value, field.at(object))
+			r.readValue(pairs[i].path, pairs[i].value, field.pointer(object))
 		case field.Required:
-			r.fault(CodeMissingField, join(at, field.Name), node, "the field is required")
+			r.addFault(CodeMissingField, joinPath(path, field.Name), node, "the field is required")
 		}
 	}
 }
 
-func names(fields []Field) string {
+func fieldNames(fields []Field) string {
 	var names []string
 	for _, field := range fields {
 		names = append(names, field.Name)
@@ -163,158 +167,158 @@
 	return strings.Join(names, ", ")
 }
 
-// value reads a node into the field that target points to.
-func (r *reader) value(at string, node *yaml.Node, target any) {
+// readValue stores the value of node in the field to which target points.
+func (r *reader) readValue(path string, node *yaml.Node, target any) {
 	switch target := target.(type) {
 	case *int:
-		r.integer(at, node, target)
+		r.readInteger(path, node, target)
 	case *float64:
-		r.fraction(at, node, target)
+		r.readFraction(path, node, target)
 	case *sycamorerun.Duration:
-		r.duration(at, node, target)
+		r.readDuration(path, node, target)
 	case *string:
-		r.text(at, node, target)
+		r.readText(path, node, target)
 	case *[]string:
-		*target = list(r, at, node, r.text)
+		*target = readList(r, path, node, r.readText)
 	case *map[string]string:
-		*target = r.texts(at, node)
+		*target = r.readTextMap(path, node)
 	case *[]sycamorerun.Target:
-		*target = list(r, at, node, func(at string, node *yaml.Node, target *sycamorerun.Target) {
-			r.object(objectTarget, at, node, target)
+		*target = readList(r, path, node, func(path string, node *yaml.Node, target *sycamorerun.Target) {
+			r.readObject(objectTarget, path, node, target)
 		})
 	case *[]sycamorerun.Operator:
-		*target = list(r, at, node, func(at string, node *yaml.Node, operator *sycamorerun.Operator) {
-			r.object(objectOperator, at, node, operator)
+		*target = readList(r, path, node, func(path string, node *yaml.Node, operator *sycamorerun.Operator) {
+			r.readObject(objectOperator, path, node, operator)
 		})
 	default:
 		panic(fmt.Sprintf("no reader for %T", target))
 	}
 }
 
-// list reads a sequence; an empty one is nil.
-func list[T any](r *reader, at string, node *yaml.Node, read func(string, *yaml.Node, *T)) []T {
+// readList reads a sequence. It returns nil for an empty one.
+func readList[T any](r *reader, path string, node *yaml.Node, read func(string, *yaml.Node, *T)) []T {
 	sequence := r.resolve(node)
-	if null(sequence) {
+	if isNull(sequence) {
 		return nil
 	}
 	if sequence.Kind != yaml.SequenceNode {
-		r.fault(CodeWrongType, at, node, "%s where a list belongs", describe(sequence))
+		r.addFault(CodeWrongType, path, node, "%s where a list belongs", describe(sequence))
 		return nil
 	}
 	var values []T
 	for i, element := range sequence.Content {
-		if r.full() {
+		if r.limitReached() {
 			return nil
 		}
-		place := fmt.Sprintf("%s[%d]", at, i)
-		r.lines[place] = element.Line
+		elementPath := fmt.Sprintf("%s[%d]", path, i)
+		r.lineByPath[elementPath] = element.Line
 		var value T
-		read(place, element, &value)
+		read(elementPath, element, &value)
 		values = append(values, value)
 	}
 	return values
 }
 
-// texts reads a mapping of texts; an empty one is nil.
-func (r *reader) texts(at string, node *yaml.Node) map[string]string {
+// readTextMap reads a mapping of texts. It returns nil for an empty one.
+func (r *reader) readTextMap(path string, node *yaml.Node) map[string]string {
 	var values map[string]string
-	pairs, _ := r.pairs(at, node)
+	pairs, _ := r.readPairs(path, node)
 	for _, pair := range pairs {
 		if values == nil {
 			values = map[string]string{}
 		}
 		var value string
-		r.text(pair.at, pair.value, &value)
+		r.readText(pair.path, pair.value, &value)
 		values[pair.name] = value
 	}
 	return values
 }
 
-// scalar returns the text of a scalar with one of the tags.
-func (r *reader) scalar(at string, node *yaml.Node, want string, tags ...string) (string, bool) {
+// readScalar returns the text of a scalar that has one of the given YAML tags.
+func (r *reader) readScalar(path string, node *yaml.Node, want string, tags ...string) (string, bool) {
 	found := r.resolve(node)
-	if found.Kind == yaml.ScalarNode && !tagged(found) && slices.Contains(tags, found.ShortTag()) {
+	if found.Kind == yaml.ScalarNode && !hasExplicitTag(found) && slices.Contains(tags, found.ShortTag()) {
 		return found.Value, true
 	}
 	hint := ""
 	if want == "a text" && found.Kind == yaml.ScalarNode {
 		hint = "; put it in quotes"
 	}
-	r.fault(CodeWrongType, at, node, "%s where %s belongs%s", describe(found), want, hint)
+	r.addFault(CodeWrongType, path, node, "%s where %s belongs%s", describe(found), want, hint)
 	return "", false
 }
 
-func (r *reader) text(at string, node *yaml.Node, target *string) {
-	if text, ok := r.scalar(at, node, "a text", "!!str"); ok {
+func (r *reader) readText(path string, node *yaml.Node, target *string) {
+	if text, ok := r.readScalar(path, node, "a text", "!!str"); ok {
 		*target = text
 	}
 }
 
-var decimal = regexp.MustCompile(`^-?(0|[1-9][0-9]*)$`)
+var decimalPattern = regexp.MustCompile(`^-?(0|[1-9][0-9]*)$`)
 
-func (r *reader) integer(at string, node *yaml.Node, target *int) {
-	text, ok := r.scalar(at, node, "an integer", "!!int", "!!float")
+func (r *reader) readInteger(path string, node *yaml.Node, target *int) {
+	text, ok := r.readScalar(path, node, "an integer", "!!int", "!!float")
 	if !ok {
 		return
 	}
-	if !decimal.MatchString(text) {
-		r.fault(CodeWrongType, at, node, "%s where a decimal integer belongs", quote(text))
+	if !decimalPattern.MatchString(text) {
+		r.addFault(CodeWrongType, path, node, "%s where a decimal integer belongs", quote(text))
 		return
 	}
 	value, err := strconv.Atoi(text)
 	if err != nil {
-		r.fault(CodeOutOfBounds, at, node, "%s is too large", quote(text))
+		r.addFault(CodeOutOfBounds, path, node, "%s is too large", quote(text))
 		return
 	}
 	*target = value
 }
 
-func (r *reader) fraction(at string, node *yaml.Node, target *float64) {
-	text, ok := r.scalar(at, node, "a number", "!!int", "!!float")
+func (r *reader) readFraction(path string, node *yaml.Node, target *float64) {
+	text, ok := r.readScalar(path, node, "a number", "!!int", "!!float")
 	if !ok {
 		return
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || value != value {
-		r.fault(CodeWrongType, at, node, "%s where a decimal number belongs", quote(text))
+		r.addFault(CodeWrongType, path, node, "%s where a decimal number belongs", quote(text))
 		return
 	}
-	// Adding zero turns -0 into 0, which has one text.
+	// Adding zero turns -0 into 0, so that zero has only one canonical form.
 	*target = value + 0
 }
 
 var (
-	durationForm = regexp.MustCompile(`^-?([0-9]+(\.[0-9]+)?(ms|s|m|h))+$`)
-	numberForm   = regexp.MustCompile(`^[-+]?[0-9]*\.?[0-9]+$`)
+	durationPattern = regexp.MustCompile(`^-?([0-9]+(\.[0-9]+)?(ms|s|m|h))+$`)
+	numberPattern   = regexp.MustCompile(`^[-+]?[0-9]*\.?[0-9]+$`)
 )
 
-func (r *reader) duration(at string, node *yaml.Node, target *sycamorerun.Duration) {
-	text, ok := r.scalar(at, node, "a duration such as 2s", "!!str", "!!int", "!!float")
+func (r *reader) readDuration(path string, node *yaml.Node, target *sycamorerun.Duration) {
+	text, ok := r.readScalar(path, node, "a duration such as 2s", "!!str", "!!int", "!!float")
 	switch {
 	case !ok:
 		return
-	case numberForm.MatchString(text):
-		r.fault(CodeMissingUnit, at, node, "%s has no unit; write ms, s, m or h", quote(text))
+	case numberPattern.MatchString(text):
+		r.addFault(CodeMissingUnit, path, node, "%s has no unit; write ms, s, m or h", quote(text))
 		return
-	case !durationForm.MatchString(text):
-		r.fault(CodeWrongUnit, at, node, "%s is not a duration in ms, s, m or h, such as 2s", quote(text))
+	case !durationPattern.MatchString(text):
+		r.addFault(CodeWrongUnit, path, node, "%s is not a duration in ms, s, m or h, such as 2s", quote(text))
 		return
 	}
 	value, err := time.ParseDuration(text)
 	if err != nil {
-		r.fault(CodeOutOfBounds, at, node, "%s is too long", quote(text))
+		r.addFault(CodeOutOfBounds, path, node, "%s is too long", quote(text))
 		return
 	}
 	*target = sycamorerun.Duration(value)
 }
 
-// tagged reports whether the text gives the node an explicit tag.
-func tagged(node *yaml.Node) bool {
+// hasExplicitTag reports whether node has an explicit tag in the text.
+func hasExplicitTag(node *yaml.Node) bool {
 	return node.Style&yaml.TaggedStyle != 0
 }
 
-// bounded shortens a key for use in a path.
-func bounded(key string) string {
+// truncateKey truncates a key to 80 bytes for use in a path.
+func truncateKey(key string) string {
 	const limit = 80
 	if len(key) <= limit {
 		return key
@@ -324,13 +328,13 @@
 
 func describe(node *yaml.Node) string {
 	switch {
-	case tagged(node):
+	case hasExplicitTag(node):
 		return "an explicit tag"
 	case node.Kind == yaml.MappingNode:
 		return "a map"
 	case node.Kind == yaml.SequenceNode:
 		return "a list"
-	case null(node):
+	case isNull(node):
 		return "an empty value"
 	}
 	return quote(node.Value)
--- a/parser/render.go
+++ b/parser/render.go
@@ -15,10 +15,10 @@
 // sectionOrder is the order of the sections in a rendered file.
 var sectionOrder = []string{"teams", "services", "routes", "limits"}
 
-// Render writes the settings file that Parse reads as items of team. Holds
-// are left out, since no settings file contains them.
+// Render returns a settings file that Parse reads as the given items of team.
+// Holds are omitted because settings files do not contain them.
 func Render(team string, items map[sycamorerun.Path]sycamorerun.Item) ([]byte, error) {
-	kinds := map[string]*yaml.Node{}
+	sectionNodes := map[string]*yaml.Node{}
 	for _, path := range slices.Sorted(maps.Keys(items)) {
 		owner, kind, name := path.Split()
 		if owner != team {
@@ -32,19 +32,19 @@
 			return nil, errors.Errorf("item %s: %s", faults[0].Path, faults[0].Reason)
 		}
 		if name == "" {
-			kinds[kind] = objectNode(kind, object, 0)
+			sectionNodes[kind] = objectNode(kind, object, 0)
 			continue
 		}
-		if kinds[kind] == nil {
-			kinds[kind] = mapping(0)
+		if sectionNodes[kind] == nil {
+			sectionNodes[kind] = newMapping(0)
 		}
-		add(kinds[kind], name, objectNode(kind, object, 0))
+		appendPair(sectionNodes[kind], name, objectNode(kind, object, 0))
 	}
-	root := mapping(0)
-	add(root, "team", textNode(team))
+	root := newMapping(0)
+	appendPair(root, "team", textNode(team))
 	for _, name := range sectionOrder {
-		if node := kinds[sections[name].kind]; node != nil {
-			add(root, name, node)
+		if node := sectionNodes[sections[name].kind]; node != nil {
+			appendPair(root, name, node)
 		}
 	}
 	var text bytes.Buffer
@@ -56,11 +56,11 @@
 	return text.Bytes(), errors.Wrap(encoder.Close(), "render settings")
 }
 
-func mapping(style yaml.Style) *yaml.Node {
+func newMapping(style yaml.Style) *yaml.Node {
 	return &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map", Style: style}
 }
 
-func add(node *yaml.Node, key string, value *yaml.Node) {
+func appendPair(node *yaml.Node, key string, value *yaml.Node) {
 	node.Content = append(node.Content, textNode(key), value)
 }
 
@@ -68,19 +68,20 @@
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text}
 }
 
-// objectNode writes the fields in the order of the table, without empty lists
-// and maps.
+// objectNode returns a mapping of the object's fields in the order of
+// objectFields, without empty lists and maps.
 func objectNode(kind string, object any, style yaml.Style) *yaml.Node {
-	node := mapping(style)
-	for _, field := range fieldsOf[kind] {
-		if value := valueNode(field.at(object)); value != nil {
-			add(node, field.Name, value)
+	node := newMapping(style)
+	for _, field := range fieldsByObject[kind] {
+		if value := valueNode(field.pointer(object)); value != nil {
+			appendPair(node, field.Name, value)
 		}
 	}
 	return node
 }
 
-// valueNode returns nil for an empty list or map.
+// valueNode returns the node of a field's value, or nil for an empty list or
+// map.
 func valueNode(value any) *yaml.Node {
 	switch value := value.(type) {
 	case *int:
@@ -92,22 +93,22 @@
 	case *string:
 		return textNode(*value)
 	case *[]string:
-		return sequence(*value, yaml.FlowStyle, func(text *string) *yaml.Node { return textNode(*text) })
+		return sequenceNode(*value, yaml.FlowStyle, func(text *string) *yaml.Node { return textNode(*text) })
 	case *map[string]string:
-		return textsNode(*value)
+		return textMapNode(*value)
 	case *[]sycamorerun.Target:
-		return sequence(*value, 0, func(target *sycamorerun.Target) *yaml.Node {
+		return sequenceNode(*value, 0, func(target *sycamorerun.Target) *yaml.Node {
 			return objectNode(objectTarget, target, yaml.FlowStyle)
 		})
 	case *[]sycamorerun.Operator:
-		return sequence(*value, 0, func(operator *sycamorerun.Operator) *yaml.Node {
+		return sequenceNode(*value, 0, func(operator *sycamorerun.Operator) *yaml.Node {
 			return objectNode(objectOperator, operator, yaml.FlowStyle)
 		})
 	}
-	panic("no form for a field's type")
+	panic("no YAML form for the field's type")
 }
 
-func sequence[T any](values []T, style yaml.Style, convert func(*T) *yaml.Node) *yaml.Node {
+func sequenceNode[T any](values []T, style yaml.Style, convert func(*T) *yaml.Node) *yaml.Node {
 	if len(values) == 0 {
 		return nil
 	}
@@ -118,13 +119,13 @@
 	return node
 }
 
-func textsNode(values map[string]string) *yaml.Node {
+func textMapNode(values map[string]string) *yaml.Node {
 	if len(values) == 0 {
 		return nil
 	}
-	node := mapping(yaml.FlowStyle)
+	node := newMapping(yaml.FlowStyle)
 	for _, key := range slices.Sorted(maps.Keys(values)) {
-		add(node, key, textNode(values[key]))
+		appendPair(node, key, textNode(values[key]))
 	}
 	return node
 }
--- a/parser/verify.go
+++ b/parser/verify.go
@@ -9,32 +9,33 @@
 	"sycamorerun"
 )
 
-// Bounds of a hold, which no settings file contains.
-const reasonBytes = 1024
+// maxReasonBytes is the maximum size of a hold's reason. It is not in the table
+// of fields because settings files do not contain holds.
+const maxReasonBytes = 1024
 
-// Decode returns an item as a pointer to its root type, and its faults: a path
-// of a wrong form, JSON that is not canonical, or fields out of bounds. Neither
-// argument is trusted.
+// Decode returns an item as a pointer to its type in package sycamorerun, and
+// its faults: a malformed path, JSON that is not canonical, or fields out of
+// bounds. Both arguments may come from an untrusted source.
 func Decode(path sycamorerun.Path, item sycamorerun.Item) (any, []sycamorerun.Fault) {
 	object, faults := newObject(path)
 	if faults != nil {
 		return nil, faults
 	}
 	if len(item) > MaxItemBytes {
-		return nil, one(CodeTooLarge, string(path), "%d bytes are more than %d", len(item), MaxItemBytes)
+		return nil, newFaults(CodeTooLarge, string(path), "%d bytes are more than %d", len(item), MaxItemBytes)
 	}
 	if err := json.Unmarshal(item, object); err != nil {
-		return nil, one(CodeMalformed, string(path), "not the JSON of its kind: %s", err)
+		return nil, newFaults(CodeMalformed, string(path), "invalid JSON for the item's kind: %s", err)
 	}
 	canonical, err := json.Marshal(object)
 	if err != nil || !bytes.Equal(canonical, item) {
-		return nil, one(CodeMalformed, string(path), "not canonical JSON")
+		return nil, newFaults(CodeMalformed, string(path), "not canonical JSON")
 	}
 	_, kind, _ := path.Split()
 	if hold, ok := object.(*sycamorerun.Hold); ok {
 		faults = checkHold(hold)
 	} else {
-		faults = check(kind, "", object)
+		faults = checkObject(kind, "", object)
 	}
 	for i, fault := range faults {
 		faults[i].Reason = fault.Path + ": " + fault.Reason
@@ -43,7 +44,7 @@
 	return object, faults
 }
 
-// newObject returns an empty object of the kind that path names.
+// newObject returns a new object of the kind in path.
 func newObject(path sycamorerun.Path) (any, []sycamorerun.Fault) {
 	team, kind, name := path.Split()
 	admin := team == sycamorerun.AdminTeam
@@ -71,16 +72,16 @@
 	if len(text) > 256 || !utf8.ValidString(text) {
 		text = quote(text)
 	}
-	return one(CodeBadPath, text, "%s", reason)
+	return newFaults(CodeBadPath, text, "%s", reason)
 }
 
 func checkHold(hold *sycamorerun.Hold) []sycamorerun.Fault {
 	faults := nameFormat.check("operator", hold.Operator)
-	if len(hold.Reason) > reasonBytes {
-		faults = append(faults, one(CodeOutOfBounds, "reason", "%d bytes are more than %d", len(hold.Reason), reasonBytes)...)
+	if len(hold.Reason) > maxReasonBytes {
+		faults = append(faults, newFaults(CodeOutOfBounds, "reason", "%d bytes are more than %d", len(hold.Reason), maxReasonBytes)...)
 	}
 	if hold.Since.IsZero() {
-		faults = append(faults, one(CodeMissingField, "since", "the time is required")...)
+		faults = append(faults, newFaults(CodeMissingField, "since", "the time is required")...)
 	}
 	return faults
 }
