--- a/validator/checker.go
+++ b/validator/checker.go
@@ -8,44 +8,44 @@
 	"sycamorerun/parser"
 )
 
-// Checker checks trees that follow each other. It remembers the items of the
-// last good tree, since a change touches few of them and decoding all the
-// others again is most of the cost of a check.
+// Checker checks successive versions of a tree. It caches the decoded items of
+// the last valid tree, since a change touches few items and decoding all of
+// them again is most of the cost of a check.
 type Checker struct {
-	mutex sync.Mutex
-	known map[sycamorerun.Path]verified
+	mutex    sync.Mutex
+	previous map[sycamorerun.Path]verifiedItem
 }
 
-// verified is an item without faults of its own.
-type verified struct {
+// verifiedItem is a decoded item.
+type verifiedItem struct {
 	item   sycamorerun.Item
 	object any
-	// match is the key of a route's requests, see matchKey.
-	match string
+	// matchKey is the result of the function matchKey for a route.
+	matchKey string
 }
 
-// Check returns what the function Check does.
+// Check returns the same faults as the function Check.
 func (k *Checker) Check(tree map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	c := newCheck(len(tree), k.known)
+	c := newTreeCheck(len(tree), k.previous)
 	faults := c.run(tree)
 	if len(faults) == 0 {
-		k.known = c.verified
+		k.previous = c.verified
 	}
 	return faults
 }
 
-// decode returns the verified item at path, from an earlier tree when its
-// bytes are the same.
-func (c *check) decode(path sycamorerun.Path, item sycamorerun.Item) (verified, []sycamorerun.Fault) {
-	if known, ok := c.known[path]; ok && bytes.Equal(known.item, item) {
+// decode returns the decoded item at path and its faults. It reuses the item of
+// the previous tree if the bytes are equal.
+func (c *treeCheck) decode(path sycamorerun.Path, item sycamorerun.Item) (verifiedItem, []sycamorerun.Fault) {
+	if known, ok := c.previous[path]; ok && bytes.Equal(known.item, item) {
 		return known, nil
 	}
 	object, faults := parser.Decode(path, item)
-	v := verified{item: item, object: object}
+	v := verifiedItem{item: item, object: object}
 	if route, ok := object.(*sycamorerun.Route); ok {
-		v.match = matchKey(route)
+		v.matchKey = matchKey(route)
 	}
 	return v, faults
 }
--- a/validator/validator_test.go
+++ b/validator/validator_test.go
@@ -32,7 +32,7 @@
 	return item
 }
 
-func base() items {
+func baseTree() items {
 	return items{
 		"admin/team/a": sycamorerun.Item(team), "admin/team/b": sycamorerun.Item(team),
 		"a/service/s": sycamorerun.Item(service),
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestCheck guards each rule across teams and the path that its fault names.
+// TestCheck guards against a rule across teams that is not applied, or whose
+// fault has the wrong code or path.
 func TestCheck(t *testing.T) {
 	split := []sycamorerun.Target{{Service: "s", Weight: 1}}
 	operators := sycamorerun.Item(`{"mode":"flow","operators":[{"name":"ann","hash":"sha256:` + strings.Repeat("0", 64) + `"}]}`)
@@ -87,7 +88,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			tree := base()
+			tree := baseTree()
 			maps.Copy(tree, test.add)
 			var found sycamorerun.Fault
 			if faults := validator.Check(tree); len(faults) > 0 {
@@ -101,7 +102,7 @@
 	}
 }
 
-// TestCheckBounded guards the bound on the number of faults reported.
+// TestCheckBounded guards against an unbounded number of reported faults.
 func TestCheckBounded(t *testing.T) {
 	is := is.New(t)
 	tree := items{}
@@ -111,14 +112,14 @@
 	is.Equal(len(validator.Check(tree)), parser.MaxFaults)
 }
 
-// FuzzCheck guards against panics on a tree from the network, and checks that
-// an accepted tree renders to settings files that parse to the same items.
+// FuzzCheck guards against panics on a tree from the network, and against an
+// accepted tree whose rendered settings files parse to different items.
 func FuzzCheck(f *testing.F) {
-	for path, item := range base() {
+	for path, item := range baseTree() {
 		f.Add(string(path), []byte(item), "a/hold", []byte(`{"operator":"ann"}`))
 	}
 	f.Fuzz(func(t *testing.T, path string, item []byte, other string, second []byte) {
-		tree := base()
+		tree := baseTree()
 		tree[sycamorerun.Path(path)] = item
 		tree[sycamorerun.Path(other)] = second
 		if len(validator.Check(tree)) > 0 {
@@ -141,9 +142,9 @@
 	})
 }
 
-// large is the tree of the two-year plan: 430 services.
-func large() map[sycamorerun.Path]sycamorerun.Item {
-	tree := base()
+// largeTree returns a tree of the size planned for two years ahead: 430 services.
+func largeTree() map[sycamorerun.Path]sycamorerun.Item {
+	tree := baseTree()
 	for i := range 430 {
 		name := fmt.Sprintf("s%d", i)
 		tree[sycamorerun.NewPath("a", "service", name)] = sycamorerun.Item(service)
@@ -157,7 +158,7 @@
 }
 
 func BenchmarkCheck(b *testing.B) {
-	tree := large()
+	tree := largeTree()
 	for b.Loop() {
 		if faults := validator.Check(tree); faults != nil {
 			b.Fatal(faults[0])
@@ -165,9 +166,10 @@
 	}
 }
 
-// BenchmarkChecker measures a check after one that had all but one item.
+// BenchmarkChecker measures a check in which one item has changed since the last
+// one.
 func BenchmarkChecker(b *testing.B) {
-	tree := large()
+	tree := largeTree()
 	var checker validator.Checker
 	changed := sycamorerun.NewPath("a", "route", "s0-0")
 	for i := 0; b.Loop(); i++ {
@@ -180,35 +182,36 @@
 	}
 }
 
-// Guards against a fault that hides behind items remembered from the last
-// tree: a checker finds in each tree of a sequence what a fresh check finds.
+// TestCheckerRemembers guards against a fault that a Checker misses because it
+// reuses items of the previous tree: on each tree of a sequence it must return
+// the same faults as Check.
 func TestCheckerRemembers(t *testing.T) {
 	is := is.New(t)
 	var checker validator.Checker
-	same := func(tree map[sycamorerun.Path]sycamorerun.Item, faulty bool) {
+	expectSame := func(tree map[sycamorerun.Path]sycamorerun.Item, faulty bool) {
 		t.Helper()
 		faults := checker.Check(tree)
 		is.Equal(faults, validator.Check(tree))
 		is.Equal(len(faults) > 0, faulty)
 	}
-	tree := large()
-	same(tree, false)
+	tree := largeTree()
+	expectSame(tree, false)
 	used := sycamorerun.NewPath("a", "service", "s7")
 	item := tree[used]
 	delete(tree, used)
-	same(tree, true) // The unchanged routes lost their service.
+	expectSame(tree, true) // The service of unchanged routes was removed.
 	tree[used] = item
-	same(tree, false)
+	expectSame(tree, false)
 	one, two := sycamorerun.NewPath("a", "route", "s1-0"), sycamorerun.NewPath("a", "route", "s1-1")
 	tree[one] = tree[two]
-	same(tree, true) // Now two routes match the same requests.
+	expectSame(tree, true) // Now two routes match the same requests.
 	tree[one] = sycamorerun.Item("{")
-	same(tree, true)
+	expectSame(tree, true)
 	delete(tree, one)
-	same(tree, false)
+	expectSame(tree, false)
 }
 
-// TestSettingsPage guards the codes in docs/settings.md against a drift.
+// TestSettingsPage guards against a docs/settings.md that differs from the codes.
 func TestSettingsPage(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/settings.md")
