--- a/loader/file.go
+++ b/loader/file.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	nameFile = "settings-file"
-	// fileBytes bounds a settings file. All settings of a node together take
-	// some 2 KB.
-	fileBytes = 1 << 20
+	fileSetting = "settings-file"
+	// maxFileBytes is the maximum size of a settings file. All settings of a node
+	// together take about 2 KB.
+	maxFileBytes = 1 << 20
 )
 
-// AddFile registers the setting that names a file with further settings. Flags
-// and environment variables take precedence over it.
+// AddFile registers the setting for the path of a settings file. Flags and
+// environment variables take precedence over the file.
 func (l *Loader) AddFile() {
-	Add(l, &l.file, nameFile, "", Text("a path, or nothing"), "file with lines \"name = value\" of these settings, read again when it changes and on SIGHUP")
+	Add(l, &l.file, fileSetting, "", Text("a path, or nothing"), "file with lines \"name = value\" of these settings, read again when it changes and on SIGHUP")
 }
 
-// File returns the path of the settings file, empty without one.
+// File returns the path of the settings file, or "" if there is none.
 func (l *Loader) File() string { return l.file }
 
-// Notes returns what Load ignored.
+// Notes returns messages about input that Load ignored.
 func (l *Loader) Notes() []string { return l.notes }
 
-// Changed returns the names of the settings whose text differs in next, those
-// that take effect in a running process and those that don't.
-func (l *Loader) Changed(next *Loader) (running, start []string) {
+// Changed returns the names of the settings whose text differs in next:
+// reloadable ones, and those that take effect only after a restart.
+func (l *Loader) Changed(next *Loader) (reloadable, restartRequired []string) {
 	texts := map[string]string{}
 	for _, s := range l.settings {
 		texts[s.name] = s.text
@@ -43,57 +43,57 @@
 			continue
 		}
 		if s.reloadable {
-			running = append(running, s.name)
+			reloadable = append(reloadable, s.name)
 		} else {
-			start = append(start, s.name)
+			restartRequired = append(restartRequired, s.name)
 		}
 	}
-	return running, start
+	return reloadable, restartRequired
 }
 
-// content is a settings file.
-type content struct {
+// fileContent is the parsed content of a settings file.
+type fileContent struct {
 	values map[string]string
 	faults []Fault
 	notes  []string
 }
 
-// readFile reads the settings file that flags or variables name. A file that a
-// flag names has to exist when the process starts; one that a variable names,
-// which whole fleets share, may come later.
-func (l *Loader) readFile(flags *pflag.FlagSet, lookup func(string) (string, bool)) (content, error) {
-	named := flags.Lookup(nameFile)
-	if named == nil {
-		return content{}, nil
+// readFile reads the settings file whose path is set by flag or environment
+// variable. A file set by flag must exist. A file set by environment variable
+// may be created later, since whole fleets share the variable.
+func (l *Loader) readFile(flags *pflag.FlagSet, lookup func(string) (string, bool)) (fileContent, error) {
+	fileFlag := flags.Lookup(fileSetting)
+	if fileFlag == nil {
+		return fileContent{}, nil
 	}
-	path, _ := lookup(variable(nameFile))
-	if named.Changed {
-		path = named.Value.String()
+	path, _ := lookup(environmentName(fileSetting))
+	if fileFlag.Changed {
+		path = fileFlag.Value.String()
 	}
 	if path == "" {
-		return content{}, nil
+		return fileContent{}, nil
 	}
 	text, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && !named.Changed {
-		return content{notes: []string{"settings file " + path + " does not exist"}}, nil
+	if errors.Is(err, fs.ErrNotExist) && !fileFlag.Changed {
+		return fileContent{notes: []string{"settings file " + path + " does not exist"}}, nil
 	}
 	if err != nil {
-		return content{}, errors.Wrap(err, "settings file")
+		return fileContent{}, errors.Wrap(err, "settings file")
 	}
 	return l.parseFile(text), nil
 }
 
-// parseFile reads lines "name = value". Empty lines and those that begin with #
-// are comments; the last line with a name counts.
-func (l *Loader) parseFile(text []byte) content {
-	read := content{values: map[string]string{}}
-	if len(text) > fileBytes || bytes.IndexByte(text, 0) >= 0 {
-		read.faults = []Fault{{Name: nameFile, Allowed: "lines of text, at most 1 MiB", Source: SourceFile}}
-		return read
+// parseFile parses lines of the form "name = value". Empty lines and lines that
+// begin with # are skipped. The last of several lines with the same name wins.
+func (l *Loader) parseFile(text []byte) fileContent {
+	parsed := fileContent{values: map[string]string{}}
+	if len(text) > maxFileBytes || bytes.IndexByte(text, 0) >= 0 {
+		parsed.faults = []Fault{{Name: fileSetting, Allowed: "lines of text, at most 1 MiB", Source: SourceFile}}
+		return parsed
 	}
 	var unknown []string
 	lines := bufio.NewScanner(bytes.NewReader(text))
-	lines.Buffer(nil, fileBytes+1)
+	lines.Buffer(nil, maxFileBytes+1)
 	for lines.Scan() {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -103,15 +103,15 @@
 		name = strings.TrimSpace(name)
 		switch {
 		case !ok || name == "":
-			read.faults = append(read.faults, Fault{Name: nameFile, Value: line, Allowed: "lines name = value", Source: SourceFile})
-		case name == nameFile || !slices.ContainsFunc(l.settings, func(s *setting) bool { return s.name == name }):
+			parsed.faults = append(parsed.faults, Fault{Name: fileSetting, Value: line, Allowed: "lines name = value", Source: SourceFile})
+		case name == fileSetting || !slices.ContainsFunc(l.settings, func(s *setting) bool { return s.name == name }):
 			unknown = append(unknown, name)
 		default:
-			read.values[name] = strings.TrimSpace(value)
+			parsed.values[name] = strings.TrimSpace(value)
 		}
 	}
 	if len(unknown) > 0 {
-		read.notes = append(read.notes, "settings file has unknown names, which are ignored: "+strings.Join(unknown, ", "))
+		parsed.notes = append(parsed.notes, "settings file has unknown names, which are ignored: "+strings.Join(unknown, ", "))
 	}
-	return read
+	return parsed
 }
--- a/loader/kind.go
+++ b/loader/kind.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind says how a setting's text becomes a T and what is allowed.
+// Kind parses a setting's text to a T and describes the allowed values.
 type Kind[T any] struct {
 	Allowed string
 	Secret  bool
@@ -21,14 +21,14 @@
 
 var errNotAllowed = errors.New("not allowed")
 
-// Text allows any text.
+// Text accepts any text. The argument describes the allowed values.
 func Text(allowed string) Kind[string] {
 	return Kind[string]{Allowed: allowed, Parse: func(text string) (string, error) { return text, nil }}
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Name allows names of instances, availability zones and regions.
+// Name accepts names of instances, availability zones and regions.
 func Name() Kind[string] {
 	return Kind[string]{
 		Allowed: "1 to 63 of a-z, 0-9 and -",
@@ -41,7 +41,7 @@
 	}
 }
 
-// Choice allows one of the given words.
+// Choice accepts one of the given words.
 func Choice(words ...string) Kind[string] {
 	return Kind[string]{
 		Allowed: strings.Join(words, ", "),
@@ -54,13 +54,13 @@
 	}
 }
 
-// Duration allows durations with a unit between least and most.
-func Duration(least, most time.Duration) Kind[time.Duration] {
+// Duration accepts durations with a unit from minValue to maxValue.
+func Duration(minValue, maxValue time.Duration) Kind[time.Duration] {
 	return Kind[time.Duration]{
-		Allowed: fmt.Sprintf("%s to %s", least, most),
+		Allowed: fmt.Sprintf("%s to %s", minValue, maxValue),
 		Parse: func(text string) (time.Duration, error) {
 			value, err := time.ParseDuration(text)
-			if err != nil || value < least || value > most {
+			if err != nil || value < minValue || value > maxValue {
 				return 0, errNotAllowed
 			}
 			return value, nil
@@ -68,13 +68,13 @@
 	}
 }
 
-// Int allows whole numbers between least and most.
-func Int(least, most int) Kind[int] {
+// Int accepts integers from minValue to maxValue.
+func Int(minValue, maxValue int) Kind[int] {
 	return Kind[int]{
-		Allowed: fmt.Sprintf("%d to %d", least, most),
+		Allowed: fmt.Sprintf("%d to %d", minValue, maxValue),
 		Parse: func(text string) (int, error) {
 			value, err := strconv.Atoi(text)
-			if err != nil || value < least || value > most {
+			if err != nil || value < minValue || value > maxValue {
 				return 0, errNotAllowed
 			}
 			return value, nil
@@ -82,13 +82,13 @@
 	}
 }
 
-// Float allows numbers between least and most.
-func Float(least, most float64) Kind[float64] {
+// Float accepts numbers from minValue to maxValue.
+func Float(minValue, maxValue float64) Kind[float64] {
 	return Kind[float64]{
-		Allowed: fmt.Sprintf("%v to %v", least, most),
+		Allowed: fmt.Sprintf("%v to %v", minValue, maxValue),
 		Parse: func(text string) (float64, error) {
 			value, err := strconv.ParseFloat(text, 64)
-			if err != nil || !(value >= least && value <= most) {
+			if err != nil || !(value >= minValue && value <= maxValue) {
 				return 0, errNotAllowed
 			}
 			return value, nil
@@ -96,17 +96,17 @@
 	}
 }
 
-// Bool allows true and false.
+// Bool accepts true and false, and their short forms such as 1 and f.
 func Bool() Kind[bool] {
 	return Kind[bool]{Allowed: "true, false", Parse: strconv.ParseBool}
 }
 
-// Address allows an IP address with a port.
+// Address accepts an IP address with a port.
 func Address() Kind[netip.AddrPort] {
 	return Kind[netip.AddrPort]{Allowed: "an IP address and a port, such as 127.0.0.1:7070", Parse: netip.ParseAddrPort}
 }
 
-// OptionalAddress allows an IP address with a port, or nothing.
+// OptionalAddress accepts an IP address with a port, or an empty text.
 func OptionalAddress() Kind[netip.AddrPort] {
 	return Kind[netip.AddrPort]{
 		Allowed: "an IP address and a port, or nothing",
@@ -119,7 +119,8 @@
 	}
 }
 
-// Addresses allows a comma-separated list of IP addresses with ports.
+// Addresses accepts a comma-separated list of IP addresses with ports, which may
+// be empty.
 func Addresses() Kind[[]netip.AddrPort] {
 	return Kind[[]netip.AddrPort]{
 		Allowed: "IP addresses and ports, separated by commas, or nothing",
@@ -140,7 +141,7 @@
 	}
 }
 
-// Pattern allows text that matches expression.
+// Pattern accepts text that matches the regular expression.
 func Pattern(expression, allowed string) Kind[string] {
 	pattern := regexp.MustCompile(expression)
 	return Kind[string]{
--- a/loader/loader.go
+++ b/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader reads a process's settings from flags and environment
-// variables of the same names and checks them as a whole.
+// Package loader loads a process's settings from flags, environment variables
+// and a settings file, and validates them together.
 package loader
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/spf13/pflag"
 )
 
-// ExitUsage is the exit code of a process whose settings are faulty.
+// ExitUsage is the exit code of a process whose settings are invalid.
 const ExitUsage = 2
 
-// ErrHelp means that the user asked for help, which was printed.
+// ErrHelp means that help was requested and has been printed.
 var ErrHelp = errors.New("help requested")
 
-// Source says where a setting's value came from.
+// Source is the origin of a setting's value.
 type Source string
 
-// Sources of values, the later ones taking precedence.
+// Sources in ascending order of precedence.
 const (
 	SourceDefault     Source = "default"
 	SourceFile        Source = "file"
@@ -29,7 +29,7 @@
 	SourceFlag        Source = "flag"
 )
 
-// Fault is one faulty setting: its name, its value and what is allowed.
+// Fault describes an invalid setting and its allowed values.
 type Fault struct {
 	Name    string
 	Value   string
@@ -37,51 +37,51 @@
 	Source  Source
 }
 
-// String formats f as one line.
+// String formats f as a single line.
 func (f Fault) String() string {
 	return fmt.Sprintf("--%s=%q (%s): allowed: %s", f.Name, f.Value, f.Source, f.Allowed)
 }
 
-// Setting is one registered setting.
+// setting is a registered setting.
 type setting struct {
 	name    string
 	usage   string
 	allowed string
 	secret  bool
-	// reloadable says that a change takes effect in a running process.
-	reloadable bool
-	fallback   string
-	text       string
-	source     Source
-	parse      func(text string) error
+	// reloadable means that a change takes effect without a restart.
+	reloadable  bool
+	defaultText string
+	text        string
+	source      Source
+	parse       func(text string) error
 }
 
-// Option changes a setting that is added.
+// Option configures a setting in Add.
 type Option func(s *setting)
 
-// Reloadable says that a change of the setting takes effect in a running
-// process. Others take effect at its next start.
+// Reloadable is an Option for a setting whose changes take effect in the running
+// process. Changes of other settings take effect after a restart.
 func Reloadable(s *setting) { s.reloadable = true }
 
-// Loader holds the settings of one program.
+// Loader loads and holds the settings of a program.
 type Loader struct {
 	program  string
 	settings []*setting
 	checks   []func() []Fault
-	// file is the path of the settings file, empty without one.
+	// file is the path of the settings file, empty if there is none.
 	file  string
 	notes []string
 }
 
-// New returns a Loader for the program; environment variables have the prefix
+// New returns a Loader for the program. Environment variables have the prefix
 // SYCAMORERUN_.
 func New(program string) *Loader { return &Loader{program: program} }
 
-// Add registers a setting that is parsed by kind into target.
-func Add[T any](l *Loader, target *T, name, fallback string, kind Kind[T], usage string, options ...Option) {
+// Add registers a setting whose value is parsed by kind and stored in target.
+func Add[T any](l *Loader, target *T, name, defaultText string, kind Kind[T], usage string, options ...Option) {
 	added := &setting{
 		name: name, usage: usage, allowed: kind.Allowed, secret: kind.Secret,
-		fallback: fallback, text: fallback, source: SourceDefault,
+		defaultText: defaultText, text: defaultText, source: SourceDefault,
 		parse: func(text string) error {
 			value, err := kind.Parse(text)
 			if err == nil {
@@ -96,13 +96,15 @@
 	l.settings = append(l.settings, added)
 }
 
-// Check registers a check over several settings, run when each one is valid.
+// Check registers a check across settings. It runs only if each single setting
+// is valid.
 func (l *Loader) Check(check func() []Fault) { l.checks = append(l.checks, check) }
 
-// Load reads flags from args, variables from lookup and the settings file, and
-// returns every fault. It returns ErrHelp after printing the usage to help.
+// Load reads flags from args, environment variables from lookup, and the
+// settings file, and returns all faults. If args request help, it writes the
+// usage to help and returns ErrHelp.
 func (l *Loader) Load(args []string, lookup func(string) (string, bool), help io.Writer) ([]Fault, error) {
-	flags, err := l.parse(args, help)
+	flags, err := l.parseFlags(args, help)
 	if err != nil {
 		return nil, err
 	}
@@ -114,15 +116,15 @@
 	return append(content.faults, l.evaluate(flags, lookup, content.values)...), nil
 }
 
-// parse reads the flags.
-func (l *Loader) parse(args []string, help io.Writer) (*pflag.FlagSet, error) {
+// parseFlags parses args with a flag for each setting.
+func (l *Loader) parseFlags(args []string, help io.Writer) (*pflag.FlagSet, error) {
 	flags := pflag.NewFlagSet(l.program, pflag.ContinueOnError)
 	flags.SetOutput(help)
 	flags.SortFlags = false
 	for _, s := range l.settings {
-		usage := fmt.Sprintf("%s; %s (%s)", s.usage, s.allowed, variable(s.name))
-		flags.String(s.name, s.fallback, usage)
-		if s.fallback == "false" {
+		usage := fmt.Sprintf("%s; %s (%s)", s.usage, s.allowed, environmentName(s.name))
+		flags.String(s.name, s.defaultText, usage)
+		if s.defaultText == "false" {
 			flags.Lookup(s.name).NoOptDefVal = "true"
 		}
 	}
@@ -138,22 +140,23 @@
 	return flags, nil
 }
 
-// evaluate sets every setting from the source that takes precedence.
+// evaluate sets each setting from its source of highest precedence. If all are
+// valid, it runs the registered checks.
 func (l *Loader) evaluate(flags *pflag.FlagSet, lookup func(string) (string, bool), file map[string]string) []Fault {
 	var faults []Fault
 	for _, s := range l.settings {
-		s.text, s.source = s.fallback, SourceDefault
+		s.text, s.source = s.defaultText, SourceDefault
 		if text, ok := file[s.name]; ok {
 			s.text, s.source = text, SourceFile
 		}
-		if text, ok := lookup(variable(s.name)); ok {
+		if text, ok := lookup(environmentName(s.name)); ok {
 			s.text, s.source = text, SourceEnvironment
 		}
 		if flags.Changed(s.name) {
 			s.text, s.source = flags.Lookup(s.name).Value.String(), SourceFlag
 		}
 		if err := s.parse(s.text); err != nil {
-			faults = append(faults, Fault{s.name, s.shown(), s.allowed, s.source})
+			faults = append(faults, Fault{s.name, s.displayValue(), s.allowed, s.source})
 		}
 	}
 	if len(faults) > 0 {
@@ -165,31 +168,32 @@
 	return faults
 }
 
-// Print writes the effective settings and where each came from.
+// Print writes the effective settings and their sources to w.
 func (l *Loader) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NAME\tVALUE\tSOURCE\tCHANGES")
 	for _, s := range l.settings {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", s.name, s.shown(), s.source, s.changes())
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", s.name, s.displayValue(), s.source, s.takesEffect())
 	}
 	return errors.Wrap(table.Flush(), "print settings")
 }
 
-// changes says when a change takes effect.
-func (s *setting) changes() string {
+// takesEffect returns when a change takes effect: in the running process or at
+// the next start.
+func (s *setting) takesEffect() string {
 	if s.reloadable {
 		return "running"
 	}
 	return "start"
 }
 
-func (s *setting) shown() string {
+func (s *setting) displayValue() string {
 	if s.secret && s.text != "" {
 		return "(hidden)"
 	}
 	return s.text
 }
 
-func variable(name string) string {
+func environmentName(name string) string {
 	return "SYCAMORERUN_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against settings that are read from the wrong source.
+// TestPrecedence guards against a setting that is read from the wrong source.
 func TestPrecedence(t *testing.T) {
 	cases := map[string]struct {
 		args      []string
@@ -58,7 +58,8 @@
 	}
 }
 
-// Guards against a start that reports only the first of several faults.
+// TestEveryFaultIsListed guards against a start that reports only the first of
+// several faults.
 func TestEveryFaultIsListed(t *testing.T) {
 	is := is.New(t)
 	var s settings
@@ -69,7 +70,7 @@
 	is.Equal(faults[1].String(), `--standby-delay="5" (flag): allowed: 0s to 10s`)
 }
 
-// Guards against secrets in printed settings.
+// TestPrintHidesSecrets guards against secrets in printed settings.
 func TestPrintHidesSecrets(t *testing.T) {
 	is := is.New(t)
 	var s settings
@@ -82,7 +83,8 @@
 	is.True(strings.Contains(out.String(), "standby-delay  500ms     default"))
 }
 
-// Guards against wrong exit codes of faulty settings, help and --print.
+// TestStart guards against wrong exit codes for faulty settings, --help and
+// --print.
 func TestStart(t *testing.T) {
 	cases := map[string]struct {
 		args    []string
--- a/loader/start.go
+++ b/loader/start.go
@@ -7,18 +7,18 @@
 	"github.com/pkg/errors"
 )
 
-// Streams are where a program prints its settings and its faults.
+// Streams are the outputs of a program for settings and for faults.
 type Streams struct {
 	Out io.Writer
 	Err io.Writer
 }
 
-// Start loads the settings for a program that is starting. It reports whether
-// the program goes on, and its exit code when it does not: after --help,
-// --print or a fault.
+// Start loads the settings at the start of a program. It reports whether the
+// program may proceed, and otherwise its exit code: after --help, --print or a
+// fault.
 func (l *Loader) Start(args []string, lookup func(string) (string, bool), streams Streams) (proceed bool, code int) {
-	var show bool
-	AddPrint(l, &show)
+	var printSettings bool
+	AddPrint(l, &printSettings)
 	faults, err := l.loadAtStart(args, lookup, streams.Err)
 	if errors.Is(err, ErrHelp) {
 		return false, 0
@@ -36,7 +36,7 @@
 	if len(faults) > 0 {
 		return false, ExitUsage
 	}
-	if show {
+	if printSettings {
 		if err := l.Print(streams.Out); err != nil {
 			return false, 1
 		}
@@ -45,25 +45,24 @@
 	return true, 0
 }
 
-// AddPrint registers the setting that Start adds by itself. A Load of the same
-// arguments needs it too.
-func AddPrint(l *Loader, show *bool) {
-	Add(l, show, "print", "false", Bool(), "print the effective settings and where each came from, then exit")
+// AddPrint registers the setting --print. Start calls it; a later Load of the
+// same arguments must call it as well.
+func AddPrint(l *Loader, printSettings *bool) {
+	Add(l, printSettings, "print", "false", Bool(), "print the effective settings and where each came from, then exit")
 }
 
-// loadAtStart is Load, but for a faulty settings file: a process that would run
-// without the file starts without it, as a running one goes on without a new
-// file that is faulty.
+// loadAtStart is like Load but ignores a faulty settings file if the settings
+// are valid without it. A running process ignores a faulty new file as well.
 func (l *Loader) loadAtStart(args []string, lookup func(string) (string, bool), help io.Writer) ([]Fault, error) {
 	faults, err := l.Load(args, lookup, help)
 	if err != nil || len(faults) == 0 || l.file == "" {
 		return faults, err
 	}
-	flags, err := l.parse(args, help)
+	flags, err := l.parseFlags(args, help)
 	if err != nil {
 		return nil, err
 	}
-	if rest := l.evaluate(flags, lookup, nil); len(rest) > 0 {
+	if faultsWithoutFile := l.evaluate(flags, lookup, nil); len(faultsWithoutFile) > 0 {
 		return faults, nil
 	}
 	for _, fault := range faults {
