--- a/differ/differ.go
+++ b/differ/differ.go
@@ -1,4 +1,4 @@
-// Package differ compares trees, applies differences and hashes trees.
+// Package differ computes and applies differences between trees and hashes trees.
 package differ
 
 import (
@@ -27,7 +27,8 @@
 	return difference
 }
 
-// Apply returns a copy of tree at version with the difference applied.
+// Apply returns a copy of tree with the difference applied and the given
+// version.
 func Apply(tree sycamorerun.Tree, version sycamorerun.Version, difference sycamorerun.Difference) sycamorerun.Tree {
 	next := tree.Clone()
 	next.Version = version
@@ -38,8 +39,8 @@
 	return next
 }
 
-// Hash returns the SHA-256 over the sorted paths and items, each preceded by
-// its length so that no two trees share an encoding.
+// Hash returns the SHA-256 of the items in path order. Each path and item is
+// preceded by its length, so that different trees have different encodings.
 func Hash(items map[sycamorerun.Path]sycamorerun.Item) sycamorerun.Hash {
 	digest := sha256.New()
 	var length [8]byte
--- a/encoder/frame.go
+++ b/encoder/frame.go
@@ -1,4 +1,5 @@
-// Package encoder writes and reads length-prefixed protobuf messages.
+// Package encoder encodes entries and trees as protobuf messages and reads and
+// writes length-prefixed frames.
 package encoder
 
 import (
@@ -9,9 +10,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const prefixBytes = 4
+// lengthPrefixBytes is the size of the big-endian length before each frame.
+const lengthPrefixBytes = 4
 
-// ErrTooLarge means that a frame exceeds the reader's limit.
+// ErrTooLarge means that a frame is longer than the limit of Read.
 var ErrTooLarge = errors.New("frame too large")
 
 // Message is a pointer to a generated protobuf struct T.
@@ -20,21 +22,23 @@
 	proto.Message
 }
 
-// Write sends message as one frame in one call of w.Write.
+// Write writes message as one frame in a single call of w.Write. It returns the
+// number of bytes written.
 func Write(w io.Writer, message proto.Message) (int, error) {
-	frame := make([]byte, prefixBytes, prefixBytes+proto.Size(message))
+	frame := make([]byte, lengthPrefixBytes, lengthPrefixBytes+proto.Size(message))
 	frame, err := proto.MarshalOptions{}.MarshalAppend(frame, message)
 	if err != nil {
 		return 0, errors.Wrap(err, "encode frame")
 	}
-	binary.BigEndian.PutUint32(frame, uint32(len(frame)-prefixBytes))
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-lengthPrefixBytes))
 	n, err := w.Write(frame)
 	return n, errors.Wrap(err, "write frame")
 }
 
-// Read receives one frame of at most limit bytes into a new T.
+// Read reads one frame and decodes it into a new T. It returns ErrTooLarge if
+// the frame has more than limit bytes.
 func Read[T any, M Message[T]](r io.Reader, limit int) (M, error) {
-	var prefix [prefixBytes]byte
+	var prefix [lengthPrefixBytes]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return nil, errors.Wrap(err, "read frame length")
 	}
--- a/encoder/limits_test.go
+++ b/encoder/limits_test.go
@@ -10,8 +10,8 @@
 	"sycamorerun/encoder"
 )
 
-// TestFrameLimit guards against a peer that makes a node allocate as much as a
-// frame's length claims.
+// TestFrameLimit guards against a peer that makes a node allocate any amount of
+// memory by sending a large frame length.
 func TestFrameLimit(t *testing.T) {
 	is := is.New(t)
 	var stream bytes.Buffer
@@ -27,8 +27,8 @@
 	is.True(err != nil)
 }
 
-// TestPlainLimit guards against a small message that fills the memory when it
-// is decompressed.
+// TestPlainLimit guards against a small message that exhausts memory when it is
+// decompressed.
 func TestPlainLimit(t *testing.T) {
 	is := is.New(t)
 	for size, fits := range map[int]bool{encoder.MaxPlainBytes / 2: true, encoder.MaxPlainBytes + 1: false} {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestHashLength guards against a short hash that is compared as if the rest
-// of it were zero.
+// TestHashLength guards against a hash of the wrong length that is accepted and
+// padded with zeros or truncated.
 func TestHashLength(t *testing.T) {
 	is := is.New(t)
 	for size, valid := range map[int]bool{0: false, 31: false, 32: true, 33: false} {
--- a/encoder/pack.go
+++ b/encoder/pack.go
@@ -12,7 +12,7 @@
 	"sycamorerun"
 )
 
-// MaxPlainBytes bounds the size of a decompressed message.
+// MaxPlainBytes is the maximum size of a decompressed message.
 const MaxPlainBytes = 8 << 20
 
 var (
@@ -20,7 +20,7 @@
 	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxPlainBytes))
 )
 
-// Pack marshals message and compresses it when that is smaller.
+// Pack marshals message into an Envelope, compressed if that is smaller.
 func Pack(message proto.Message) ([]byte, error) {
 	plain, err := proto.Marshal(message)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return data, errors.Wrap(err, "pack")
 }
 
-// Unpack reads what Pack wrote into a new T.
+// Unpack decodes data written by Pack into a new T.
 func Unpack[T any, M Message[T]](data []byte) (M, error) {
 	envelope := &Envelope{}
 	if err := proto.Unmarshal(data, envelope); err != nil {
@@ -51,7 +51,7 @@
 	return message, errors.Wrap(proto.Unmarshal(plain, message), "unpack")
 }
 
-// FromEntry converts an entry to its message, items in path order.
+// FromEntry converts an entry to a message with items in path order.
 func FromEntry(entry sycamorerun.Entry) *Entry {
 	message := &Entry{
 		Version:  uint64(entry.Version),
@@ -94,12 +94,13 @@
 	return entry, nil
 }
 
-// FromTree converts a tree and its hash to a snapshot, items in path order.
+// FromTree converts a tree and its hash to a snapshot with items in path order.
 func FromTree(tree sycamorerun.Tree, hash sycamorerun.Hash) *Snapshot {
 	return &Snapshot{Version: uint64(tree.Version), Hash: hash[:], Items: fromItems(tree.Items)}
 }
 
-// ToTree converts a snapshot to a tree and the hash that it claims.
+// ToTree converts a snapshot to a tree and the hash stated in the snapshot,
+// which it does not verify.
 func ToTree(message *Snapshot) (sycamorerun.Tree, sycamorerun.Hash, error) {
 	tree := sycamorerun.Tree{
 		Version: sycamorerun.Version(message.GetVersion()),
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -1,4 +1,4 @@
-// Package logger sets up key=value logs, one line an event.
+// Package logger provides logfmt loggers that write one line per event.
 package logger
 
 import (
@@ -9,30 +9,30 @@
 	"github.com/go-kit/log/level"
 )
 
-// New returns a logger that writes to w the events at or above the level
-// named by least: "debug", "info", "warn" or "error".
-func New(w io.Writer, least string, keyvals ...any) log.Logger {
-	return NewLeveled(w, least, keyvals...)
+// New returns a logger that writes the events at or above minLevel to w. The
+// levels are "debug", "info", "warn" and "error".
+func New(w io.Writer, minLevel string, keyvals ...any) log.Logger {
+	return NewLeveled(w, minLevel, keyvals...)
 }
 
-// Leveled is a logger whose level can change.
+// Leveled is a logger whose level can be changed at run time.
 type Leveled struct {
 	base   log.Logger
 	filter atomic.Pointer[log.Logger]
 }
 
-// NewLeveled returns a logger as New does.
-func NewLeveled(w io.Writer, least string, keyvals ...any) *Leveled {
+// NewLeveled is like New but returns a logger whose level can be changed.
+func NewLeveled(w io.Writer, minLevel string, keyvals ...any) *Leveled {
 	base := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	base = log.With(base, "ts", log.DefaultTimestampUTC)
 	l := &Leveled{base: log.With(base, keyvals...)}
-	l.SetLevel(least)
+	l.SetLevel(minLevel)
 	return l
 }
 
-// SetLevel changes the least level that is written.
-func (l *Leveled) SetLevel(least string) {
-	filter := level.NewFilter(l.base, level.Allow(level.ParseDefault(least, level.InfoValue())))
+// SetLevel sets the minimum level of the events that are written.
+func (l *Leveled) SetLevel(minLevel string) {
+	filter := level.NewFilter(l.base, level.Allow(level.ParseDefault(minLevel, level.InfoValue())))
 	l.filter.Store(&filter)
 }
 
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,4 +1,5 @@
-// Package meter sets up metrics by tally, exposed as Prometheus text.
+// Package meter sets up tally metrics that are exposed in the Prometheus text
+// format.
 package meter
 
 import (
@@ -13,12 +14,12 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// ReportInterval is how often counters are handed to the exporter.
+// ReportInterval is the interval at which metrics are passed to the exporter.
 const ReportInterval = time.Second
 
-// sanitizer keeps metric names and label names as Prometheus takes them, and
-// the characters that occur in names of instances in label values.
-func sanitizer() *tally.SanitizeOptions {
+// sanitizeOptions returns Prometheus's rules for metric and label names, and
+// allows all characters of instance names in label values.
+func sanitizeOptions() *tally.SanitizeOptions {
 	options := prometheus.DefaultSanitizerOpts
 	options.ValueCharacters = tally.ValidCharacters{
 		Ranges:     tally.AlphanumericRange,
@@ -27,8 +28,9 @@
 	return &options
 }
 
-// New returns a root scope with the given tags, the handler that exposes it
-// together with the memory statistics of the process, and a closer that reports the last values.
+// New returns a root scope with the given tags, a handler that exposes it
+// together with the Go runtime metrics, and a closer that reports the last
+// values.
 func New(tags map[string]string) (tally.Scope, http.Handler, io.Closer) {
 	registry := prom.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
@@ -38,7 +40,7 @@
 		Tags:            tags,
 		CachedReporter:  reporter,
 		Separator:       prometheus.DefaultSeparator,
-		SanitizeOptions: sanitizer(),
+		SanitizeOptions: sanitizeOptions(),
 	}, ReportInterval)
 	return scope, promhttp.HandlerFor(registry, promhttp.HandlerOpts{}), closer
 }
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -10,7 +10,7 @@
 	"sycamorerun/meter"
 )
 
-// Guards against label values that no longer match the names of instances
+// TestLabels guards against label values that differ from the names of instances
 // and availability zones, and against scopes that share a registry.
 func TestLabels(t *testing.T) {
 	is := is.New(t)
