--- a/change.go
+++ b/change.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ChangeKind says what a change does.
+// ChangeKind is the operation of a change.
 type ChangeKind string
 
-// Kinds of changes.
+// Change kinds.
 const (
 	Apply       ChangeKind = "apply"
 	PlaceHold   ChangeKind = "hold"
@@ -15,30 +15,32 @@
 	Reject      ChangeKind = "reject"
 )
 
-// Change is an operator's request to change its team's subtree.
+// Change is an operator's request to change the subtree of a team.
 type Change struct {
-	// ID is chosen by the client and makes the change idempotent.
+	// ID is chosen by the client. Submitting a change again with the same ID
+	// has no further effect.
 	ID       string
 	Kind     ChangeKind
 	Team     string
 	Operator string
-	// Base is the version that the operator looked at; zero skips the check.
+	// Base is the version on which the change is based. The change conflicts if
+	// the team's subtree has changed since. Zero skips the check.
 	Base Version
-	// Items is the whole new subtree of the team, for Apply.
+	// Items is the complete new subtree of the team, for Apply.
 	Items map[Path]Item
 	// Hold is the hold to place, for Place.
 	Hold Hold
-	// Target is the version whose subtree returns, for Revert.
+	// Target is the version whose subtree is restored, for Revert.
 	Target Version
-	// Proposal and Content name the reviewed change, for Approve and Reject.
+	// Proposal and Content identify the reviewed change, for Approve and Reject.
 	Proposal string
 	Content  Hash
 }
 
-// Status says how a change ended.
+// Status is the status of a change.
 type Status string
 
-// Statuses of a change.
+// Change statuses.
 const (
 	StatusAccepted Status = "accepted"
 	StatusPending  Status = "pending"
@@ -47,24 +49,25 @@
 	StatusUnknown  Status = "unknown"
 )
 
-// Outcome is the result of a change.
+// Outcome is the reply to a submitted change.
 type Outcome struct {
 	ID      string
 	Status  Status
 	Version Version
 	Faults  []Fault
-	// Retry is how long to wait before asking again, for StatusUnknown.
+	// Retry is the delay before the client should ask again, for StatusUnknown.
 	Retry time.Duration
 }
 
-// Fault is one reason to refuse a settings file or a change.
+// Fault is a reason for the rejection of a settings file or a change.
 type Fault struct {
-	// Code is stable, such as "unknown-field".
+	// Code is a stable identifier, such as "unknown-field".
 	Code string
-	// Path locates the fault, such as "quoting/route/quotes" or
+	// Path is the location of the fault, such as "quoting/route/quotes" or
 	// "routes.quotes.split[0].service".
 	Path string
-	// Line is the line in the settings file, zero when unknown.
-	Line   int
+	// Line is the line in the settings file, zero if unknown.
+	Line int
+	// Reason is a human-readable explanation.
 	Reason string
 }
--- a/duration.go
+++ b/duration.go
@@ -7,18 +7,18 @@
 	"github.com/pkg/errors"
 )
 
-// Duration is a time.Duration written as text, such as "2s", in items.
+// Duration is a time.Duration that is encoded as text in items, such as "2s".
 type Duration time.Duration
 
 // String formats d like a time.Duration.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalJSON writes d in the form of time.Duration.String.
+// MarshalJSON encodes d in the format of time.Duration.String.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(d.String())
 }
 
-// UnmarshalJSON reads the form that time.ParseDuration takes.
+// UnmarshalJSON decodes the format of time.ParseDuration.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/entry.go
+++ b/entry.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Entry is one accepted version: its difference to the version before it and,
-// in the log, the changes that it contains.
+// Entry describes an accepted version by its difference from an earlier version.
+// In the log, it also contains the changes that were accepted with it.
 type Entry struct {
 	Version Version
-	// Base is the version that the difference starts from. Zero means the
-	// preceding number.
+	// Base is the version to which the difference applies. Zero means
+	// Version - 1.
 	Base Version
 	// Hash is the hash of the whole tree at Version.
 	Hash       Hash
@@ -16,7 +16,7 @@
 	Time       time.Time
 }
 
-// BaseVersion returns the version that the difference starts from.
+// BaseVersion returns the version to which the difference applies.
 func (e Entry) BaseVersion() Version {
 	if e.Base > 0 || e.Version == 0 {
 		return e.Base
@@ -24,13 +24,14 @@
 	return e.Version - 1
 }
 
-// Difference turns one tree into another.
+// Difference is the set of items to put and paths to remove to turn one tree
+// into another.
 type Difference struct {
 	Put    map[Path]Item
 	Remove []Path
 }
 
-// Accepted names a change that an entry contains.
+// Accepted identifies a change in an entry.
 type Accepted struct {
 	ID       string
 	Team     string
--- a/incarnation.go
+++ b/incarnation.go
@@ -1,29 +1,31 @@
 package sycamorerun
 
-// Incarnation orders the runs of a node without a clock, since a clock may be
-// set back between two runs. It is a count, and below it the random boot id of
-// the run. A run begins with the count 1 and moves above each record of its
-// name that another run wrote. The boot id tells runs apart that have not met.
+// Incarnation orders the runs of a node. It does not use a clock because the
+// clock may be set back between two runs. The high bits are a count, the low bits
+// the random boot id of the run. A run starts with count 1 and advances past
+// each record that it receives from another run under its name. The boot id
+// distinguishes runs that have not received each other's records.
 type Incarnation int64
 
 const (
 	bootBits = 32
-	// countMost bounds the count. A record with a larger one could not be
+	// maxCount is the maximum count. A record with a larger count could not be
 	// superseded.
-	countMost = 1 << 30
+	maxCount = 1 << 30
 )
 
-// NewIncarnation returns the first incarnation of a run.
+// NewIncarnation returns the first incarnation of the run with the boot id.
 func NewIncarnation(boot uint32) Incarnation { return 1<<bootBits | Incarnation(boot) }
 
-// Boot returns the boot id, which stays the same for a run.
+// Boot returns the boot id, which does not change during a run.
 func (i Incarnation) Boot() uint32 { return uint32(i) }
 
-// AdvancePast returns the incarnation of the same run that supersedes other.
+// AdvancePast returns the lowest incarnation of the same run that is not below i
+// and supersedes other.
 func (i Incarnation) AdvancePast(other Incarnation) Incarnation {
-	count := min(other>>bootBits+1, countMost)
+	count := min(other>>bootBits+1, maxCount)
 	return max(i, count<<bootBits|Incarnation(i.Boot()))
 }
 
 // Valid reports whether another run can supersede i.
-func (i Incarnation) Valid() bool { return i > 0 && i>>bootBits <= countMost }
+func (i Incarnation) Valid() bool { return i > 0 && i>>bootBits <= maxCount }
--- a/instance.go
+++ b/instance.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// State is the condition of an instance's upstream as seen by other nodes.
+// State is the state of an instance's upstream as published to other nodes.
 type State string
 
-// States of an instance.
+// Instance states.
 const (
 	StateNone     State = "none"
 	StateCold     State = "cold"
@@ -17,8 +17,8 @@
 	StateLeft     State = "left"
 )
 
-// Instance is the membership record of one node and the upstream beside it.
-// Only the node itself writes it.
+// Instance is the membership record of a node and its upstream. Only the node
+// itself writes it.
 type Instance struct {
 	Name             string
 	Incarnation      Incarnation
@@ -29,18 +29,19 @@
 	Service          string
 	State            State
 	Slots            int
-	// Distance is a bucket of the latency of the store, 1 and up. Zero means
-	// that the node has not measured it, Unreachable that its calls fail.
+	// Distance is the node's latency to the store as a bucket number, 1 or
+	// higher. Zero means not measured, Unreachable that calls to the store fail.
 	Distance int
-	// Since is when the upstream entered State. Cold and ready count as one,
-	// since the slow start goes on.
+	// Since is the time at which the upstream entered State. It does not change
+	// from cold to ready, since the slow start continues.
 	Since time.Time
 }
 
-// Unreachable is the distance of a node whose calls of the store fail.
+// Unreachable is the Distance of a node whose calls to the store fail.
 const Unreachable = -1
 
-// Newer reports whether i supersedes other, a record of the same node.
+// Newer reports whether i supersedes other, which must be a record of the same
+// node.
 func (i Instance) Newer(other Instance) bool {
 	if i.Incarnation != other.Incarnation {
 		return i.Incarnation > other.Incarnation
@@ -48,7 +49,7 @@
 	return i.Sequence > other.Sequence
 }
 
-// Serving reports whether the instance's upstream takes new calls.
+// Serving reports whether the instance's upstream accepts new calls.
 func (i Instance) Serving() bool {
 	return i.State == StateCold || i.State == StateReady
 }
--- a/path.go
+++ b/path.go
@@ -2,10 +2,11 @@
 
 import "strings"
 
-// AdminTeam is the team that owns the list of teams.
+// AdminTeam is the name of the administrators' team, which owns the list of
+// teams and the limits.
 const AdminTeam = "admin"
 
-// Item kinds, the second element of a path.
+// Item kinds. The kind is the second element of a path.
 const (
 	KindTeam    = "team"
 	KindHold    = "hold"
@@ -14,15 +15,15 @@
 	KindLimits  = "limits"
 )
 
-// LimitsPath is the path of the limits for callers. The administrators own
-// them, since a node applies them before it knows a request's team.
+// LimitsPath is the path of the limits for callers. The administrators own them,
+// since a node applies the limits before it knows which team a request is for.
 const LimitsPath Path = AdminTeam + "/" + KindLimits
 
-// Path names an item of the tree: "<team>/<kind>/<name>", "<team>/hold" or
+// Path identifies an item of the tree: "<team>/<kind>/<name>", "<team>/hold" or
 // "admin/limits".
 type Path string
 
-// NewPath joins the elements of an item's path.
+// NewPath returns the path with the given elements.
 func NewPath(team, kind, name string) Path {
 	if kind == KindHold || kind == KindLimits {
 		return Path(team + "/" + kind)
@@ -30,15 +31,15 @@
 	return Path(team + "/" + kind + "/" + name)
 }
 
-// Split returns the elements of p. Name is empty for a hold and
-// for the limits.
+// Split returns the elements of p. The name is empty for a hold and for the
+// limits.
 func (p Path) Split() (team, kind, name string) {
 	team, rest, _ := strings.Cut(string(p), "/")
 	kind, name, _ = strings.Cut(rest, "/")
 	return team, kind, name
 }
 
-// Team returns the team that owns the item.
+// Team returns the name of the team that owns the item.
 func (p Path) Team() string {
 	team, _, _ := p.Split()
 	return team
--- a/result.go
+++ b/result.go
@@ -1,16 +1,19 @@
 package sycamorerun
 
-// Result is what a caller is told about its call.
+// Result is the result of a call as reported to the caller.
 type Result string
 
-// Results of a call.
+// Call results.
 const (
+	// Answered means that the upstream responded.
 	Answered Result = "answered"
-	NotRun   Result = "not-run"
-	Unknown  Result = "unknown"
+	// NotRun means that no upstream has executed the call.
+	NotRun Result = "not-run"
+	// Unknown means that an upstream may have executed the call.
+	Unknown Result = "unknown"
 )
 
-// Headers of the data path.
+// HTTP headers of proxied requests and responses.
 const (
 	HeaderOutcome  = "Sycamorerun-Outcome"
 	HeaderReason   = "Sycamorerun-Reason"
--- a/route.go
+++ b/route.go
@@ -1,16 +1,17 @@
 package sycamorerun
 
-// Class ranks calls when load is shed: background first, interactive last.
+// Class is the priority class of a call. Under overload, background calls are
+// shed first and interactive calls last.
 type Class string
 
-// Classes of calls.
+// Call classes.
 const (
 	Interactive Class = "interactive"
 	Bulk        Class = "bulk"
 	Background  Class = "background"
 )
 
-// Values of Route.Repeat.
+// Values of Route.Repeat, which determines whether calls may be sent again.
 const (
 	RepeatDefault = "default"
 	RepeatAlways  = "always"
@@ -26,20 +27,21 @@
 	Class   Class             `json:"class"`
 	Repeat  string            `json:"repeat"`
 	Split   []Target          `json:"split"`
-	// Timeout bounds a call on this route; zero means the service's timeout.
+	// Timeout is the maximum duration of a call on this route. Zero means the
+	// service's timeout.
 	Timeout Duration `json:"timeout,omitempty"`
-	// Attempts bounds the upstreams that one call is sent to; zero means the
-	// default of the node.
+	// Attempts is the maximum number of upstreams to which a call is sent. Zero
+	// means the node's default.
 	Attempts int `json:"attempts,omitempty"`
-	// Objective is the latency within which a response has its full value;
-	// zero means none.
+	// Objective is the latency objective: a response is of full value to the
+	// caller within it. Zero means none.
 	Objective Duration `json:"objective,omitempty"`
-	// Rank orders the calls of an upstream's queue, 1 first; zero means the
-	// rank of the class.
+	// Rank is the priority of calls in an upstream's queue, 1 being the highest.
+	// Zero means the rank of the class.
 	Rank int `json:"rank,omitempty"`
 }
 
-// Target is one weighted destination of a route.
+// Target is a weighted destination of a route.
 type Target struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
--- a/verdict.go
+++ b/verdict.go
@@ -1,23 +1,24 @@
 package sycamorerun
 
-// Verdict says whether a call may start.
+// Verdict is the decision whether a call may start.
 type Verdict int
 
-// Verdicts.
+// Verdicts on a call.
 const (
-	// VerdictRun permits the call to start; it is recorded as started.
+	// VerdictRun means that the call may start. It has been recorded as started.
 	VerdictRun Verdict = iota
-	// VerdictRefused means that the call must not start, and has not.
+	// VerdictRefused means that the call has not started and must not start.
 	VerdictRefused
-	// VerdictMismatch means that the key stands for a different request.
+	// VerdictMismatch means that the key was used for a different request.
 	VerdictMismatch
-	// VerdictRecorded means that the key's request has run and its response is known.
+	// VerdictRecorded means that the request has run and its response is recorded.
 	VerdictRecorded
-	// VerdictUncertain means that the request runs, has run or may have run.
+	// VerdictUncertain means that the request is running, has run without a
+	// recorded response, or may have run.
 	VerdictUncertain
 )
 
-// Decision is a verdict with its reason and the recorded response.
+// Decision is a verdict with its reason and the recorded response, if any.
 type Decision struct {
 	Verdict  Verdict
 	Reason   string
--- a/version.go
+++ b/version.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Version numbers the accepted configurations. Zero means none.
+// Version is the number of an accepted configuration. Zero means none.
 type Version uint64
 
 // String formats v as a decimal number.
