--- a/api/design/design.go
+++ b/api/design/design.go
@@ -1,8 +1,8 @@
-// Package design describes the operators' API in goa.
+// Package design defines the operators' API in the goa DSL.
 package design
 
 import (
-	//revive:disable-next-line:dot-imports goa designs are written in its DSL with a dot import.
+	//revive:disable-next-line:dot-imports goa designs dot-import the DSL by convention.
 	. "goa.design/goa/v3/dsl"
 )
 
@@ -16,12 +16,12 @@
 	})
 })
 
-// operatorToken is the bearer token of an operator.
+// operatorToken is the security scheme of an operator's bearer token.
 var operatorToken = APIKeySecurity("token", func() {
 	Description("Authorization: Bearer <token>")
 })
 
-// Problem is the body of every error answer.
+// Problem is the body of every error response.
 var Problem = Type("Problem", func() {
 	ErrorName("name", String, "Error name", func() { Meta("struct:error:name") })
 	Attribute("code", String, "Stable code of the error, such as wrong-team", func() { Example("wrong-team") })
@@ -30,7 +30,7 @@
 	Required("name", "code", "reason")
 })
 
-// faultType is one reason to refuse a settings file.
+// faultType is a reason for the rejection of a settings file.
 var faultType = Type("Fault", func() {
 	Attribute("code", String, "Stable code, such as unknown-field")
 	Attribute("path", String, "Where the fault is")
@@ -39,7 +39,7 @@
 	Required("code", "path", "reason")
 })
 
-// Outcome is how a change ended.
+// Outcome is the result of a change.
 var Outcome = ResultType("application/vnd.sycamorerun.outcome", func() {
 	TypeName("Outcome")
 	Attributes(func() {
@@ -52,14 +52,14 @@
 	})
 })
 
-// Record is one item of the tree.
+// Record is an item of the tree with its path.
 var Record = Type("Record", func() {
 	Attribute("path", String, "Path of the item", func() { Example("quoting/service/quote-desk") })
 	Attribute("item", String, "Item as JSON")
 	Required("path", "item")
 })
 
-// Difference is one line of a comparison.
+// Difference is an item that differs between two trees.
 var Difference = Type("Difference", func() {
 	Attribute("path", String)
 	Attribute("before", String, "Item before as JSON, absent when added")
@@ -67,7 +67,7 @@
 	Required("path")
 })
 
-// Proposal is a change that waits for review.
+// Proposal is a change that is pending review.
 var Proposal = Type("Proposal", func() {
 	Attribute("id", String)
 	Attribute("team", String)
@@ -78,7 +78,7 @@
 	Required("id", "team", "operator", "content", "time", "differences")
 })
 
-// Accepted is one accepted change.
+// Accepted is an accepted change in the history.
 var Accepted = Type("Accepted", func() {
 	Attribute("version", UInt64)
 	Attribute("id", String)
@@ -89,6 +89,7 @@
 	Required("version", "id", "team", "operator", "kind", "time")
 })
 
+// authorized requires an operator's token for a service and declares its errors.
 var authorized = func() {
 	Security(operatorToken)
 	Error("unauthorized", Problem, "The token is missing or not known")
@@ -98,6 +99,7 @@
 	Error("missing", Problem, "Nothing has that name")
 }
 
+// statuses maps the errors of authorized to HTTP status codes.
 var statuses = func() {
 	Response("unauthorized", StatusUnauthorized)
 	Response("forbidden", StatusForbidden)
@@ -214,7 +216,7 @@
 	})
 })
 
-// Member is one instance as this node sees it.
+// Member is an instance in this node's membership view.
 var Member = Type("Member", func() {
 	Attribute("name", String)
 	Attribute("zone", String, "Availability zone")
@@ -227,14 +229,14 @@
 	Required("name", "zone", "region", "address", "service", "state", "slots", "suspect")
 })
 
-// Tally counts the nodes at one version.
+// Tally is the number of nodes at one version.
 var Tally = Type("Tally", func() {
 	Attribute("version", UInt64)
 	Attribute("nodes", Int)
 	Required("version", "nodes")
 })
 
-// Laggard is a node behind the newest version.
+// Laggard is a node that is behind the newest version.
 var Laggard = Type("Laggard", func() {
 	Attribute("name", String)
 	Attribute("version", UInt64)
@@ -243,7 +245,7 @@
 	Required("name", "version", "since")
 })
 
-// Target is a service of a route's split.
+// Target is a service in a route's traffic split.
 var Target = Type("Target", func() {
 	Attribute("service", String)
 	Attribute("share", Float64, "Part of the route's calls, 0 to 1")
@@ -251,7 +253,7 @@
 	Required("service", "share", "upstreams")
 })
 
-// RouteState is a route and whether its services have upstreams.
+// RouteState is the availability of the upstreams of a route's services.
 var RouteState = Type("RouteState", func() {
 	Attribute("route", String, "Path of the route")
 	Attribute("state", String, "served, partial (a service of the split has no upstream) or unserved (none has one)")
@@ -260,7 +262,7 @@
 	Required("route", "state", "targets")
 })
 
-// Candidate is one upstream that a call could go to.
+// Candidate is an upstream to which a call could be sent.
 var Candidate = Type("Candidate", func() {
 	Attribute("instance", String)
 	Attribute("zone", String)
