--- a/change.go
+++ b/change.go
@@ -17,8 +17,7 @@
 
 // Change is an operator's request to change the subtree of a team.
 type Change struct {
-	// ID is chosen by the client. Submitting a change again with the same ID
-	// has no further effect.
+	// ID is chosen by the client and makes the submission idempotent.
 	ID       string
 	Kind     ChangeKind
 	Team     string
@@ -28,7 +27,7 @@
 	Base Version
 	// Items is the complete new subtree of the team, for Apply.
 	Items map[Path]Item
-	// Hold is the hold to place, for Place.
+	// Hold is the hold to place, for PlaceHold.
 	Hold Hold
 	// Target is the version whose subtree is restored, for Revert.
 	Target Version
--- a/incarnation.go
+++ b/incarnation.go
@@ -20,8 +20,8 @@
 // Boot returns the boot id, which does not change during a run.
 func (i Incarnation) Boot() uint32 { return uint32(i) }
 
-// AdvancePast returns the lowest incarnation of the same run that is not below i
-// and supersedes other.
+// AdvancePast returns an incarnation of the same run whose count is higher than
+// that of other, or i if its count already is.
 func (i Incarnation) AdvancePast(other Incarnation) Incarnation {
 	count := min(other>>bootBits+1, maxCount)
 	return max(i, count<<bootBits|Incarnation(i.Boot()))
--- a/parser/field.go
+++ b/parser/field.go
@@ -27,8 +27,8 @@
 	MaxHeaderBytes = 1 << 20
 	// MaxBodyBytes is the largest body size that the limits can set.
 	MaxBodyBytes = 1 << 40
-	// MaxWait and MaxIdle are the largest header timeout and idle timeout that
-	// the limits can set.
+	// MaxWait is the largest time for a request's header that the limits can set,
+	// MaxIdle the largest time for which a connection may have no request.
 	MaxWait = time.Hour
 	MaxIdle = 24 * time.Hour
 	// MaxAliases is the maximum number of anchors and aliases in a settings file.
--- a/parser/part.go
+++ b/parser/part.go
@@ -43,7 +43,7 @@
 		case ',', ':', '?', '[', '{', '#':
 			count++
 		case '-':
-			// A dash that is followed by a visible ASCII character is part of a name.
+			// A dash before a visible ASCII character is not a list indicator.
 			if i+1 == len(text) || text[i+1] <= ' ' || text[i+1] >= 0x7f {
 				count++
 			}
