--- a/node/acceptor/commit_test.go
+++ b/node/acceptor/commit_test.go
@@ -136,7 +136,7 @@
 			for i := range versions {
 				b.Submit(t.Context(), apply(fmt.Sprint(i), "other", i))
 			}
-			hold := b.Submit(t.Context(), sycamorerun.Change{ID: "hold", Kind: sycamorerun.Place, Team: "flow"})
+			hold := b.Submit(t.Context(), sycamorerun.Change{ID: "hold", Kind: sycamorerun.PlaceHold, Team: "flow"})
 			store, stale := f.store(), 0
 			get := store.Get
 			key := persister.LogKey(hold.Version + 1)
@@ -152,7 +152,7 @@
 			a.CommitTimeout = time.Minute
 			is.Equal(a.Lookup(t.Context(), "hold"), hold)
 			stale = 3
-			b.Submit(t.Context(), sycamorerun.Change{ID: "release", Kind: sycamorerun.Release, Team: "flow"})
+			b.Submit(t.Context(), sycamorerun.Change{ID: "release", Kind: sycamorerun.ReleaseHold, Team: "flow"})
 			accepted := b.Submit(t.Context(), apply("one", "flow", 1))
 			is.Equal(accepted.Version, hold.Version+2)
 			is.Equal(a.Submit(t.Context(), apply("one", "flow", 1)), accepted)
--- a/node/acceptor/decide.go
+++ b/node/acceptor/decide.go
@@ -62,12 +62,12 @@
 // checks holds the checks of each kind of change. They run in order, before the new
 // subtree is built.
 var checks = map[sycamorerun.ChangeKind][]check{
-	sycamorerun.Apply:   {teamExists, notHeld, baseUnchanged, pathsAllowed},
-	sycamorerun.Revert:  {teamExists, notHeld, baseUnchanged, targetReachable},
-	sycamorerun.Place:   {teamExists, notHeldByOther, holdEndsInFuture},
-	sycamorerun.Release: {teamExists, holdExists},
-	sycamorerun.Approve: {teamExists, proposalOpen, notHeld, approverDiffers, contentHashMatches, subtreeUnchanged},
-	sycamorerun.Reject:  {teamExists, proposalOpen},
+	sycamorerun.Apply:       {teamExists, notHeld, baseUnchanged, pathsAllowed},
+	sycamorerun.Revert:      {teamExists, notHeld, baseUnchanged, targetReachable},
+	sycamorerun.PlaceHold:   {teamExists, notHeldByOther, holdEndsInFuture},
+	sycamorerun.ReleaseHold: {teamExists, holdExists},
+	sycamorerun.Approve:     {teamExists, proposalOpen, notHeld, approverDiffers, contentHashMatches, subtreeUnchanged},
+	sycamorerun.Reject:      {teamExists, proposalOpen},
 }
 
 // Decide returns the verdict on a request, based on view at time now. A change that
@@ -112,7 +112,7 @@
 		return faults
 	}
 	// A hold refers to no other items, and releasing one must always be possible.
-	if change.Kind == sycamorerun.Place || change.Kind == sycamorerun.Release {
+	if change.Kind == sycamorerun.PlaceHold || change.Kind == sycamorerun.ReleaseHold {
 		return nil
 	}
 	return r.Validate(sycamorerun.Tree{Version: view.Tree.Version + 1, Items: items})
@@ -172,7 +172,7 @@
 		return withHold(request.Target, before, path)
 	case sycamorerun.Approve:
 		return withHold(request.Proposal.Items, before, path)
-	case sycamorerun.Place:
+	case sycamorerun.PlaceHold:
 		hold := change.Hold
 		hold.Operator, hold.Since = change.Operator, now.UTC()
 		item, err := json.Marshal(hold)
@@ -180,7 +180,7 @@
 			panic(fmt.Sprintf("acceptor: hold does not marshal: %v", err))
 		}
 		before[path] = item
-	case sycamorerun.Release:
+	case sycamorerun.ReleaseHold:
 		delete(before, path)
 	}
 	return before
--- a/node/acceptor/limits.go
+++ b/node/acceptor/limits.go
@@ -15,15 +15,15 @@
 // Limits of the tree in bytes. In addition, the compressed tree must fit one store
 // value.
 const (
-	MaxTreeBytes = validator.TreeBytes
-	MaxItemBytes = parser.ItemBytes
+	MaxTreeBytes = validator.MaxTreeBytes
+	MaxItemBytes = parser.MaxItemBytes
 )
 
 // maxItems is the maximum number of items of each kind.
 var maxItems = map[string]int{
-	sycamorerun.KindTeam:    parser.Teams,
-	sycamorerun.KindService: parser.Services,
-	sycamorerun.KindRoute:   parser.Routes,
+	sycamorerun.KindTeam:    parser.MaxTeams,
+	sycamorerun.KindService: parser.MaxServices,
+	sycamorerun.KindRoute:   parser.MaxRoutes,
 }
 
 // exceededLimits returns a fault for each limit that items exceed.
--- a/node/manager/settings.go
+++ b/node/manager/settings.go
@@ -59,7 +59,7 @@
 	switch change.Kind {
 	case sycamorerun.Apply:
 		change.Items, faults = s.parseSettings(payload.Team, valueOrZero(payload.Settings))
-	case sycamorerun.Place:
+	case sycamorerun.PlaceHold:
 		change.Hold, faults = s.newHold(identity, payload)
 	case sycamorerun.Approve, sycamorerun.Reject:
 		change.Content, faults = parseContentHash(valueOrZero(payload.Content))
