--- a/bench/system/calls_test.go
+++ b/bench/system/calls_test.go
@@ -26,29 +26,30 @@
 	"sycamorerun/upstream/recorder"
 )
 
-// few bounds "a few seconds" after which a leaving upstream gets no new work.
-const few = 5 * time.Second
+// drainLimit is the time after which a leaving upstream must get no new
+// requests: the users' "a few seconds".
+const drainLimit = 5 * time.Second
 
-// keyWindow is short, so that the tests do not wait for the default of 10 min
-// after the start.
+// keyWindow replaces the default of 10 min, for which the tests would have to
+// wait after each start.
 const keyWindow = 2 * time.Second
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// call sends a request through a node and returns what the caller is told.
-// Without an answer the result is unknown.
+// call sends a request through a node and returns the result, status code and
+// body of the response. Without a complete response the result is unknown.
 func call(ctx context.Context, node *deployer.Node, method, host, path, key string, body io.Reader) (sycamorerun.Result, int, []byte) {
 	header := http.Header{}
 	if key != "" {
-		// http.Transport would repeat a request with the canonical name by itself
-		// and hide what the first attempt was told.
+		// http.Transport retries a request that has this header under its canonical
+		// name, which would hide the result of the first attempt.
 		header[strings.ToLower(sycamorerun.HeaderKey)] = []string{key}
 	}
-	return callWith(ctx, node, method, host, path, header, body)
+	return callWithHeader(ctx, node, method, host, path, header, body)
 }
 
-// callWith is call with any header.
-func callWith(ctx context.Context, node *deployer.Node, method, host, path string, header http.Header, body io.Reader) (sycamorerun.Result, int, []byte) {
+// callWithHeader is like call and sends the given headers.
+func callWithHeader(ctx context.Context, node *deployer.Node, method, host, path string, header http.Header, body io.Reader) (sycamorerun.Result, int, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+node.Callers.String()+path, body)
@@ -78,8 +79,9 @@
 	return records, json.Unmarshal(body, &records)
 }
 
-// runs adds up the executions of each key over all upstreams.
-func runs(t *testing.T, fleet *deployer.Fleet) map[string]int {
+// executionsByKey returns the number of executions of each key, summed over all
+// upstreams.
+func executionsByKey(t *testing.T, fleet *deployer.Fleet) map[string]int {
 	t.Helper()
 	total := map[string]int{}
 	for _, node := range fleet.Nodes {
@@ -94,21 +96,21 @@
 	return total
 }
 
-func (b *booking) settle(result sycamorerun.Result) {
+func (b *booking) addResult(result sycamorerun.Result) {
 	b.results = append(b.results, result)
 }
 
-// booking is one request that must run at most once, with the results of its
-// attempts.
+// booking is a request that must run at most once, with the results of its
+// attempts in order.
 type booking struct {
 	key     string
 	results []sycamorerun.Result
 }
 
-// Guards against a booking that runs twice, that ran although each attempt
-// was told "not run", or that did not run although it was answered, while
-// nodes are killed, paused and restarted and the callers repeat their
-// bookings at other nodes.
+// Guards against wrong results of requests with an idempotency key: a booking
+// that runs twice, that runs although each attempt returned "not run", or that
+// is answered without having run. Nodes are killed, paused and restarted while
+// callers retry their bookings at other nodes.
 func TestBookingsUnderFailures(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -117,7 +119,7 @@
 		NodeArgs: []string{"--key-window", keyWindow.String()},
 	})
 	ctx := t.Context()
-	time.Sleep(2 * keyWindow) // Until the first member sets have aged.
+	time.Sleep(2 * keyWindow) // Wait until the initial member sets are older than the key window.
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	bookings := make([][]*booking, 8)
@@ -135,7 +137,7 @@
 				for range 4 {
 					node := fleet.Nodes[random.IntN(len(fleet.Nodes))]
 					result, _, _ := call(ctx, node, http.MethodPost, "bookings.example", "/book", b.key, nil)
-					b.settle(result)
+					b.addResult(result)
 					if result == sycamorerun.Answered {
 						break
 					}
@@ -160,7 +162,7 @@
 	close(stop)
 	group.Wait()
 
-	executed := runs(t, fleet)
+	executed := executionsByKey(t, fleet)
 	counts := map[sycamorerun.Result]int{}
 	for _, b := range slices.Concat(bookings...) {
 		counts[b.results[len(b.results)-1]]++
@@ -168,18 +170,19 @@
 			t.Errorf("booking %s ran %d times: %v", b.key, executed[b.key], b.results)
 		}
 		if slices.Contains(b.results, sycamorerun.Answered) && executed[b.key] != 1 {
-			t.Errorf("booking %s was answered and ran %d times: %v", b.key, executed[b.key], b.results)
+			t.Errorf("booking %s was answered but ran %d times: %v", b.key, executed[b.key], b.results)
 		}
 		if !slices.ContainsFunc(b.results, func(r sycamorerun.Result) bool { return r != sycamorerun.NotRun }) && executed[b.key] != 0 {
-			t.Errorf("booking %s was told not-run each time and ran", b.key)
+			t.Errorf("booking %s ran although each attempt returned not-run", b.key)
 		}
 	}
 	t.Logf("last results: %v", counts)
-	is.True(counts[sycamorerun.Answered] > 100) // The load was real.
+	is.True(counts[sycamorerun.Answered] > 100) // The checks above need enough load.
 }
 
-// Guards against a new fleet that answers unknown to every booking for as long
-// as a key is remembered: before its first version no booking can have run.
+// Guards against a new fleet that returns unknown for every booking until the
+// key window has passed. No booking can have run before the first version, so
+// the nodes need not wait.
 func TestFirstBookings(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -197,17 +200,17 @@
 	is.Equal(answered, bookings)
 }
 
-// Guards against an upload that is stored in part or answered with the hash
-// of something else, while callers break off in the middle.
-func TestUploadsArriveWhole(t *testing.T) {
+// Guards against uploads that are stored truncated or answered with the hash of
+// another body while other callers abort their uploads halfway.
+func TestUploadIntegrity(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
 	ctx := t.Context()
-	waitKnown(t, fleet, "quoting")
+	waitAllReady(t, fleet, "quoting")
 	var group sync.WaitGroup
 	var mutex sync.Mutex
-	whole := map[string]bool{}
+	completed := map[string]bool{}
 	for worker := range 6 {
 		group.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(worker), 2))
@@ -217,17 +220,17 @@
 					body[j] = byte(random.Uint32())
 				}
 				sum := sha256.Sum256(body)
-				text := hex.EncodeToString(sum[:])
+				digest := hex.EncodeToString(sum[:])
 				if i%2 == 1 {
-					breakOff(ctx, fleet.Nodes[worker], body)
+					abortUpload(ctx, fleet.Nodes[worker], body)
 					continue
 				}
 				result, status, answer := call(ctx, fleet.Nodes[worker], http.MethodPost, "surveys.example", "/upload", "", bytes.NewReader(body))
-				if result != sycamorerun.Answered || status != http.StatusOK || !bytes.Contains(answer, []byte(text)) {
+				if result != sycamorerun.Answered || status != http.StatusOK || !bytes.Contains(answer, []byte(digest)) {
 					t.Errorf("upload %d-%d: %s, status %d: %s", worker, i, result, status, answer)
 				}
 				mutex.Lock()
-				whole[text] = true
+				completed[digest] = true
 				mutex.Unlock()
 			}
 		})
@@ -239,16 +242,16 @@
 		is.NoErr(err)
 		for _, sum := range records.Uploads {
 			stored++
-			if !whole[sum] {
-				t.Errorf("%s stored an upload that no caller finished", node.Name)
+			if !completed[sum] {
+				t.Errorf("%s stored an upload that no caller completed", node.Name)
 			}
 		}
 	}
-	is.Equal(stored, len(whole))
+	is.Equal(stored, len(completed))
 }
 
-// breakOff sends two thirds of a body and closes the connection.
-func breakOff(ctx context.Context, node *deployer.Node, body []byte) {
+// abortUpload sends two thirds of body and then closes the connection.
+func abortUpload(ctx context.Context, node *deployer.Node, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	reader, writer := io.Pipe()
@@ -269,8 +272,8 @@
 	}
 }
 
-// Guards against a planned stop that cuts requests in flight or that callers
-// at other nodes notice at all, and against new work for a leaving upstream.
+// Guards against a planned stop that interrupts requests in flight or makes
+// calls at other nodes fail, and against new requests to a leaving upstream.
 func TestPlannedStop(t *testing.T) {
 	cases := map[string]struct {
 		leave func(ctx context.Context, node *deployer.Node) error
@@ -286,52 +289,53 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			// Every second zone has no quote-desk, so north-2 calls north-1's.
+			// Only every second zone has a quote-desk, so north-2 calls that of north-1.
 			fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
 			ctx := t.Context()
 			leaving := fleet.Nodes[2]
-			waitKnown(t, fleet, "quoting")
+			waitAllReady(t, fleet, "quoting")
 			stop := make(chan struct{})
-			end := sync.OnceFunc(func() { close(stop) })
+			stopLoad := sync.OnceFunc(func() { close(stop) })
 			var group sync.WaitGroup
 			defer group.Wait()
-			defer end()
+			defer stopLoad()
 			for i, node := range fleet.Nodes {
 				if node == leaving {
-					continue // Its callers go elsewhere; the others must not notice.
+					continue // Its callers use other nodes; calls there must not fail.
 				}
 				for range 2 {
-					group.Go(func() { load(ctx, t, stop, node, i) })
+					group.Go(func() { sendSlowCalls(ctx, t, stop, node, i) })
 				}
 			}
-			// Other nodes send work here once they know the instance.
+			// Other nodes send requests to the instance once they know it.
 			var before recorder.Records
-			is.NoErr(deployer.Eventually(ctx, converged, func() bool {
+			is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool {
 				var err error
 				before, err = recordsOf(ctx, leaving)
 				return err == nil && before.Requests > 0
 			}))
-			at := time.Now()
+			drainStart := time.Now()
 			is.NoErr(c.leave(ctx, leaving))
-			time.Sleep(few)
-			middle, err := recordsOf(ctx, leaving)
+			time.Sleep(drainLimit)
+			afterLimit, err := recordsOf(ctx, leaving)
 			is.NoErr(err)
 			time.Sleep(time.Second)
-			after, err := recordsOf(ctx, leaving)
+			final, err := recordsOf(ctx, leaving)
 			is.NoErr(err)
-			end()
+			stopLoad()
 			group.Wait()
-			t.Logf("requests at the upstream: %d before, %d in %s, %d later", before.Requests, middle.Requests-before.Requests, few, after.Requests-middle.Requests)
-			is.Equal(after.Requests, middle.Requests)
-			if after.LastAfterDrain > few {
-				t.Errorf("last new request %s after the drain at %s", after.LastAfterDrain, at)
+			t.Logf("requests at the upstream: %d before, %d in %s, %d later", before.Requests, afterLimit.Requests-before.Requests, drainLimit, final.Requests-afterLimit.Requests)
+			is.Equal(final.Requests, afterLimit.Requests)
+			if final.LastAfterDrain > drainLimit {
+				t.Errorf("last new request %s after the drain at %s", final.LastAfterDrain, drainStart)
 			}
 		})
 	}
 }
 
-// load sends slow calls until stop and reports every one that is not answered.
-func load(ctx context.Context, t *testing.T, stop <-chan struct{}, node *deployer.Node, number int) {
+// sendSlowCalls sends calls of 200 ms each until stop is closed and fails the
+// test at the first one that is not answered.
+func sendSlowCalls(ctx context.Context, t *testing.T, stop <-chan struct{}, node *deployer.Node, number int) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -346,13 +350,13 @@
 	}
 }
 
-// Guards against callers over HTTP/2 that get something else than callers over
-// HTTP/1.1.
+// Guards against responses to HTTP/2 callers that differ from those to HTTP/1.1
+// callers.
 func TestHTTP2Callers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
-	waitKnown(t, fleet, "quoting")
+	waitAllReady(t, fleet, "quoting")
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	client := &http.Client{Transport: &http.Transport{Protocols: protocols}, Timeout: 10 * time.Second}
@@ -374,22 +378,23 @@
 	}
 }
 
-// Guards against an upstream that accepts requests and goes silent: calls are
-// answered elsewhere or end in time with a true result, and after few of them
-// the upstream gets none.
+// Guards against calls that hang on an upstream that accepts requests but never
+// responds. Calls must be retried at other instances or end before the timeout
+// with a correct result, and the upstream must be ejected after a few failures.
 func TestSilentUpstream(t *testing.T) {
 	t.Parallel()
 	const (
 		calls = 12
-		// idle is the service's time without progress, failures the number of
-		// consecutive failures after which an instance is ejected.
+		// idle is the service's idle timeout, failures the number of consecutive
+		// failures after which an instance is ejected.
 		idle, failures = 2 * time.Second, 5
 	)
 	cases := map[string]struct {
 		args     []string
 		answered int
 	}{
-		// The shares of six nodes are one repetition each, and eight.
+		// The six nodes share the slack: one retry for each node with a slack of 10,
+		// eight by default.
 		"slack of ten": {[]string{"--retry-slack", "10"}, calls - failures + 1},
 		"default":      {nil, calls},
 	}
@@ -401,36 +406,36 @@
 				Zones: deployer.Today(1), Upstreams: true, Services: []string{"quote-desk"}, NodeArgs: c.args,
 			})
 			ctx := t.Context()
-			waitKnown(t, fleet, "quoting")
+			waitAllReady(t, fleet, "quoting")
 			silent := fleet.Nodes[0]
 			is.NoErr(deployer.Put(ctx, silent.Control, "/behavior", map[string]any{"silent": true}))
-			var answered, met int
+			var answered, idleTimeouts int
 			for i := range calls {
-				began := time.Now()
+				started := time.Now()
 				result, status, text := call(ctx, silent, http.MethodGet, "quotes.example", "/quotes/1", "", nil)
 				if result == sycamorerun.Answered {
 					answered++
 				} else {
 					t.Logf("call %d: %s, status %d: %s", i, result, status, text)
 				}
-				took := time.Since(began)
+				took := time.Since(started)
 				if took >= idle {
-					met++
+					idleTimeouts++
 				}
 				if took > 6*time.Second {
-					t.Errorf("call %d took %s, the service's timeout is 5 s", i, took)
+					t.Errorf("call %d took %s; the timeout of the service is 5 s", i, took)
 				}
 			}
-			t.Logf("%d of %d calls answered, %d met the silent upstream", answered, calls, met)
+			t.Logf("%d of %d calls answered, %d waited for the silent upstream", answered, calls, idleTimeouts)
 			is.True(answered >= c.answered)
-			is.True(met <= failures) // The silent upstream is set aside.
+			is.True(idleTimeouts <= failures) // The silent upstream must be ejected.
 		})
 	}
 }
 
-// Guards against a herd onto an upstream that announces more slots than its
-// service allows, most of which its node would refuse.
-func TestFalseSlots(t *testing.T) {
+// Guards against load balancing that prefers an upstream because it announces
+// more slots than its service allows. Its node would refuse most of the calls.
+func TestOverstatedSlots(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{
@@ -438,9 +443,9 @@
 		Upstreams: true, UpstreamArgs: []string{"--work", "20ms"},
 	})
 	ctx := t.Context()
-	waitKnown(t, fleet, "quoting")
+	waitAllReady(t, fleet, "quoting")
 	is.NoErr(deployer.Put(ctx, fleet.Nodes[0].Control, "/behavior", map[string]any{"slots": 1024, "load": 0.001}))
-	time.Sleep(3 * time.Second) // An announcement each second, and its way to the nodes.
+	time.Sleep(3 * time.Second) // Announcements are sent each second and then spread to the nodes.
 	var targets []generator.Target
 	for _, node := range fleet.Nodes {
 		targets = append(targets, generator.Target{
@@ -456,6 +461,6 @@
 		}
 	}
 	t.Logf("of %d calls: %v", total, counts)
-	is.True(counts[fleet.Nodes[0].Name] <= total*4/10) // A quarter is its part.
+	is.True(counts[fleet.Nodes[0].Name] <= total*4/10) // A fair share is a quarter.
 	is.Equal(len(counts), 4)
 }
--- a/bench/system/chains_test.go
+++ b/bench/system/chains_test.go
@@ -20,12 +20,13 @@
 	"sycamorerun/upstream/server"
 )
 
-// depth is the length of the longest call chains in two years.
-const depth = 28
+// chainDepth is the number of services in the users' longest call chains of the
+// last two years.
+const chainDepth = 28
 
-// chains are settings of four services: the first three call each other in
-// turn, the last one ends a chain.
-const chains = `team: surveys
+// chainSettings declares four services: the first three call each other in
+// turn, and chain-end is the last link of each chain.
+const chainSettings = `team: surveys
 services:
   chain-a: {slots: 64, queue: 128, connections: 130, timeout: 5s, idle: 2s, warmup: 0s}
   chain-b: {slots: 64, queue: 128, connections: 130, timeout: 5s, idle: 2s, warmup: 0s}
@@ -38,7 +39,8 @@
   end: {hosts: [end.example], prefix: /, class: interactive, split: [{service: chain-end, weight: 100}]}
 `
 
-// startChains starts three instances of each service of chains.
+// startChains starts a fleet with three instances of each service in
+// chainSettings.
 func startChains(t *testing.T) *deployer.Fleet {
 	t.Helper()
 	is := is.New(t)
@@ -47,28 +49,28 @@
 		Zones:    deployer.Today(2), Upstreams: true, Services: []string{"chain-a", "chain-b", "chain-c", "chain-end"},
 		UpstreamArgs: []string{"--slots", "64"},
 	})
-	version := apply(t, fleet, "surveys", chains, fleet.Nodes[0])
-	is.NoErr(fleet.WaitVersion(t.Context(), version, len(fleet.Nodes), converged))
-	waitKnown(t, fleet, "surveys")
+	version := apply(t, fleet, "surveys", chainSettings, fleet.Nodes[0])
+	is.NoErr(fleet.WaitVersion(t.Context(), version, len(fleet.Nodes), convergenceLimit))
+	waitAllReady(t, fleet, "surveys")
 	return fleet
 }
 
-// callChain makes a call that depth upstreams take part in.
+// callChain makes a call that passes through chainDepth upstreams.
 func callChain(ctx context.Context, node *deployer.Node, key string, header http.Header) (sycamorerun.Result, int, server.Chain) {
 	var hosts []string
-	for link := 1; link < depth-1; link++ {
+	for link := 1; link < chainDepth-1; link++ {
 		hosts = append(hosts, string("abc"[link%3])+".example")
 	}
 	hosts = append(hosts, "end.example")
-	result, status, text := callWith(ctx, node, http.MethodGet, "a.example", "/chain/"+strings.Join(hosts, "/")+"?key="+key, header, nil)
+	result, status, text := callWithHeader(ctx, node, http.MethodGet, "a.example", "/chain/"+strings.Join(hosts, "/")+"?key="+key, header, nil)
 	var chain server.Chain
-	_ = json.Unmarshal(text, &chain) // The text of a failure stays an empty chain.
+	_ = json.Unmarshal(text, &chain) // The body of a failure is not JSON and leaves the chain empty.
 	return result, status, chain
 }
 
-// total adds up the records of the upstreams of a service, of all if it is
-// empty.
-func total(t *testing.T, fleet *deployer.Fleet, service string) recorder.Records {
+// sumRecords sums the records of the upstreams of service, or of all upstreams
+// if service is empty.
+func sumRecords(t *testing.T, fleet *deployer.Fleet, service string) recorder.Records {
 	t.Helper()
 	var sum recorder.Records
 	for _, node := range fleet.Nodes {
@@ -86,7 +88,9 @@
 	return sum
 }
 
-func behave(t *testing.T, fleet *deployer.Fleet, service string, behavior map[string]any) {
+// setBehavior changes the behavior of the upstreams of service, or of all
+// upstreams if service is empty.
+func setBehavior(t *testing.T, fleet *deployer.Fleet, service string, behavior map[string]any) {
 	t.Helper()
 	for _, node := range fleet.Nodes {
 		if node.Service == service || service == "" {
@@ -97,8 +101,8 @@
 	}
 }
 
-// Guards against a long chain that is not answered, or whose deadline each
-// level renews, or that goes on at some level after its deadline.
+// Guards against long call chains that fail, whose deadline restarts at each
+// level, or that keep running at some level after their deadline.
 func TestChain(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -106,66 +110,67 @@
 	ctx := t.Context()
 	const limit = 3 * time.Second // Below the timeout of the services.
 	for _, node := range fleet.Nodes {
-		began := time.Now()
-		result, status, chain := callChain(ctx, node, node.Name, deadlineOf(limit))
+		started := time.Now()
+		result, status, chain := callChain(ctx, node, node.Name, deadlineHeader(limit))
 		is.Equal(result, sycamorerun.Answered)
 		is.Equal(status, http.StatusOK)
-		is.Equal(chain.Links, depth)
+		is.Equal(chain.Links, chainDepth)
 		is.Equal(chain.Attempt, "1")
-		left, err := strconv.Atoi(chain.Deadline)
+		remaining, err := strconv.Atoi(chain.Deadline)
 		is.NoErr(err)
-		t.Logf("%s: answered in %s, %d ms of %s left at the last link", node.Name, time.Since(began), left, limit)
-		is.True(left > 0 && left < int(limit.Milliseconds()))
+		t.Logf("%s: answered in %s, %d ms of %s left at the last link", node.Name, time.Since(started), remaining, limit)
+		is.True(remaining > 0 && remaining < int(limit.Milliseconds()))
 	}
-	executed := runs(t, fleet)
+	executed := executionsByKey(t, fleet)
 	for _, node := range fleet.Nodes {
 		is.Equal(executed[node.Name], 1)
 	}
 
-	behave(t, fleet, "chain-end", map[string]any{"delay": 4000})
+	setBehavior(t, fleet, "chain-end", map[string]any{"delay": 4000})
 	const short, grace = time.Second, 500 * time.Millisecond
-	began := time.Now()
+	started := time.Now()
 	var group sync.WaitGroup
 	for _, node := range fleet.Nodes[:4] {
 		group.Go(func() {
-			result, status, _ := callChain(ctx, node, "late", deadlineOf(short))
-			// Each level rounds the time left down, so a lower level may end first.
-			// Its failure then comes up as an answer.
+			result, status, _ := callChain(ctx, node, "late", deadlineHeader(short))
+			// Each level rounds the remaining time down, so a lower level may time out
+			// first. The levels above return its failure as an answer.
 			if status < http.StatusInternalServerError {
 				t.Errorf("%s: %s, status %d", node.Name, result, status)
 			}
 		})
 	}
-	is.NoErr(deployer.Eventually(ctx, short, func() bool { return total(t, fleet, "").Running == 4*depth }))
+	is.NoErr(deployer.Eventually(ctx, short, func() bool { return sumRecords(t, fleet, "").Running == 4*chainDepth }))
 	group.Wait()
-	took := time.Since(began)
+	took := time.Since(started)
 	t.Logf("ended after %s", took)
-	is.True(took >= short-3*depth*time.Millisecond && took < short+grace)
-	is.NoErr(deployer.Eventually(ctx, grace, func() bool { return total(t, fleet, "").Running == 0 }))
-	is.Equal(runs(t, fleet)["late"], 0)
+	is.True(took >= short-3*chainDepth*time.Millisecond && took < short+grace)
+	is.NoErr(deployer.Eventually(ctx, grace, func() bool { return sumRecords(t, fleet, "").Running == 0 }))
+	is.Equal(executionsByKey(t, fleet)["late"], 0)
 }
 
-func deadlineOf(limit time.Duration) http.Header {
+func deadlineHeader(limit time.Duration) http.Header {
 	return http.Header{sycamorerun.HeaderDeadline: {strconv.FormatInt(limit.Milliseconds(), 10)}}
 }
 
-// Guards against retries that multiply from level to level of a chain: while
-// its last link fails for every call, all nodes together add at most what the
-// budget of each service permits, also when each level meets several nodes.
+// Guards against retries that multiply at each level of a call chain. While the
+// last link fails every call, all nodes together may add only the retries that
+// the retry budget of each service permits, also when the calls of a level go
+// through several nodes.
 func TestChainRetries(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := startChains(t)
 	ctx := t.Context()
-	behave(t, fleet, "", map[string]any{"spread": true})
-	behave(t, fleet, "chain-end", map[string]any{"cut": true})
-	// A call that stems from a retry is not repeated at any level.
-	const repeated = 20
-	for range repeated {
+	setBehavior(t, fleet, "", map[string]any{"spread": true})
+	setBehavior(t, fleet, "chain-end", map[string]any{"cut": true})
+	// A call that is itself a retry is not retried at any level.
+	const retriedCalls = 20
+	for range retriedCalls {
 		result, _, _ := callChain(ctx, fleet.Nodes[0], "repeated", http.Header{sycamorerun.HeaderAttempt: {"2"}})
 		is.Equal(result, sycamorerun.Unknown)
 	}
-	is.Equal(total(t, fleet, "chain-end").Requests, repeated)
+	is.Equal(sumRecords(t, fleet, "chain-end").Requests, retriedCalls)
 
 	const (
 		calls    = 150
@@ -177,21 +182,21 @@
 	cases := map[string]struct {
 		behavior map[string]any
 		spread   bool
-		// earned and spare are the most executions without the slack and the slack
-		// of each window.
-		earned, spare float64
+		// baseLimit is the maximum number of executions without slack, and
+		// windowSlack the slack that each window adds.
+		baseLimit, windowSlack float64
 	}{
 		"sheds":                          {map[string]any{"shed": true}, false, calls * (1 + ratio), slack},
 		"breaks":                         {map[string]any{"cut": true}, false, calls * (1 + ratio), slack},
-		"breaks, and so does each level": {map[string]any{"cut": true}, true, calls * (1 + ratio*depth), slack * services},
+		"breaks, and so does each level": {map[string]any{"cut": true}, true, calls * (1 + ratio*chainDepth), slack * services},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			behave(t, fleet, "", map[string]any{"spread": c.spread, "cut": false, "shed": false})
-			behave(t, fleet, "chain-end", c.behavior)
-			before := total(t, fleet, "chain-end")
-			began := time.Now()
+			setBehavior(t, fleet, "", map[string]any{"spread": c.spread, "cut": false, "shed": false})
+			setBehavior(t, fleet, "chain-end", c.behavior)
+			before := sumRecords(t, fleet, "chain-end")
+			started := time.Now()
 			var group sync.WaitGroup
 			var next, answered atomic.Int64
 			for range 4 {
@@ -205,14 +210,14 @@
 				})
 			}
 			group.Wait()
-			after := total(t, fleet, "chain-end")
+			after := sumRecords(t, fleet, "chain-end")
 			executions := after.Requests - before.Requests + after.Shed - before.Shed
-			took := time.Since(began)
-			most := c.earned + c.spare*math.Ceil(float64(took)/float64(window))
-			t.Logf("%d calls, %d executions at the last link, at most %.0f, in %s", calls, executions, most, took)
+			took := time.Since(started)
+			limit := c.baseLimit + c.windowSlack*math.Ceil(float64(took)/float64(window))
+			t.Logf("%d calls, %d executions at the last link, at most %.0f, in %s", calls, executions, limit, took)
 			is.Equal(answered.Load(), int64(0))
-			is.True(executions >= calls/2) // The failures came from the last link.
-			is.True(float64(executions) <= most)
+			is.True(executions >= calls/2) // Most calls must reach the last link.
+			is.True(float64(executions) <= limit)
 		})
 	}
 }
--- a/bench/system/chaos_test.go
+++ b/bench/system/chaos_test.go
@@ -14,15 +14,16 @@
 	"sycamorerun/bench/deployer"
 )
 
-// chaosSeed fixes the choice of the failing nodes.
+// chaosSeed makes the choice of the failing nodes reproducible.
 const chaosSeed = 20261204
 
-// Guards against invariants that hold under each failure alone but not
-// together: twice, a node is killed, another one paused, an availability zone
-// cut off and the store down while operators race. Afterwards every node has
-// the newest version, every acceptance is in the history once, and none went
-// back.
-func TestAllAtOnceTwice(t *testing.T) {
+// Guards against invariants that hold under each failure alone but not under
+// several at once. Twice, a node is killed, another one is paused, an
+// availability zone is partitioned and the store fails while operators submit
+// conflicting changes. Afterwards every node must have the newest version, every
+// reported acceptance must have its own entry in the history, and no node may
+// have applied an older version after a newer one.
+func TestCombinedFailures(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(2), Relays: true})
@@ -31,7 +32,7 @@
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	var mutex sync.Mutex
-	found := map[uint64]int{}
+	reported := map[uint64]int{}
 	for i, node := range fleet.Nodes[:4] {
 		group.Go(func() {
 			for round := 0; ; round++ {
@@ -40,13 +41,13 @@
 					return
 				default:
 				}
-				limited, cancel := context.WithTimeout(ctx, 15*time.Second)
-				outcome, err := fleet.Apply(limited, "quoting", "quoting", quoting(fmt.Sprintf("/n%d-r%d", i, round)), node, fleet.Nodes[5])
+				applyCtx, cancel := context.WithTimeout(ctx, 15*time.Second)
+				outcome, err := fleet.Apply(applyCtx, "quoting", "quoting", quotingSettings(fmt.Sprintf("/n%d-r%d", i, round)), node, fleet.Nodes[5])
 				cancel()
-				// While the store is down the outcome can stay unknown.
+				// The outcome can remain unknown while the store is down.
 				if err == nil && outcome.Status == "accepted" {
 					mutex.Lock()
-					found[*outcome.Version]++
+					reported[*outcome.Version]++
 					mutex.Unlock()
 				}
 				time.Sleep(20 * time.Millisecond)
@@ -71,18 +72,18 @@
 	}
 	close(stop)
 	group.Wait()
-	last := apply(t, fleet, "quoting", quoting("/last"), fleet.Nodes[5])
-	// Dials back off up to 10 s during a partition.
-	is.NoErr(fleet.WaitVersion(ctx, last, len(fleet.Nodes), 10*time.Second+converged))
+	last := apply(t, fleet, "quoting", quotingSettings("/last"), fleet.Nodes[5])
+	// The backoff between dials reaches 10 s during a partition.
+	is.NoErr(fleet.WaitVersion(ctx, last, len(fleet.Nodes), 10*time.Second+convergenceLimit))
 	inHistory := map[uint64]int{}
 	for _, change := range historyOf(t, fleet, fleet.Nodes[5]) {
 		inHistory[change.Version]++
 	}
-	t.Logf("%d acceptances were reported, %d versions in all", len(found), last)
-	is.True(len(found) > 0)
-	for version, times := range found {
+	t.Logf("%d accepted changes reported, newest version %d", len(reported), last)
+	is.True(len(reported) > 0)
+	for version, times := range reported {
 		if inHistory[version] < times {
-			t.Errorf("version %d was reported accepted %d times and is %d times in the history", version, times, inHistory[version])
+			t.Errorf("version %d was reported as accepted %d times but is in the history %d times", version, times, inHistory[version])
 		}
 	}
 }
--- a/bench/system/configuration_test.go
+++ b/bench/system/configuration_test.go
@@ -14,23 +14,23 @@
 	"sycamorerun/bench/deployer"
 )
 
-// status is the part of a node's status that the tests use.
-type status struct {
+// nodeStatus is the part of /v1/status that the tests use.
+type nodeStatus struct {
 	Version  uint64 `json:"version"`
 	Watching bool   `json:"watching"`
 	Phase    string `json:"phase"`
 }
 
-func statusOf(t *testing.T, fleet *deployer.Fleet, node *deployer.Node) (status, error) {
+func statusOf(t *testing.T, fleet *deployer.Fleet, node *deployer.Node) (nodeStatus, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	var s status
+	var s nodeStatus
 	err := fleet.Read(ctx, "quoting", node, "/v1/status", &s)
 	return s, err
 }
 
-// watchers returns the nodes that watch the store.
+// watchers returns the nodes that currently watch the store.
 func watchers(t *testing.T, fleet *deployer.Fleet) []*deployer.Node {
 	t.Helper()
 	var found []*deployer.Node
@@ -46,8 +46,8 @@
 	return found
 }
 
-// bystander returns a node that is not in nodes.
-func bystander(fleet *deployer.Fleet, nodes []*deployer.Node) *deployer.Node {
+// otherNode returns the first node that is not in nodes, or nil.
+func otherNode(fleet *deployer.Fleet, nodes []*deployer.Node) *deployer.Node {
 	excluded := map[string]bool{}
 	for _, node := range nodes {
 		excluded[node.Name] = true
@@ -60,8 +60,9 @@
 	return nil
 }
 
-// Guards against a fleet that depends on the watchers of a moment: each one
-// is killed or paused right before a change, and the rest converges in time.
+// Guards against a fleet that depends on its current watchers. All of them are
+// killed or paused right before a change, and the other nodes must still
+// converge in time.
 func TestWatcherFails(t *testing.T) {
 	cases := map[string]struct {
 		signal syscall.Signal
@@ -75,34 +76,34 @@
 			is := is.New(t)
 			fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
 			failing := watchers(t, fleet)
-			is.True(len(failing) >= 3) // One in each region at least.
+			is.True(len(failing) >= 3) // At least one in each region.
 			t.Logf("%d of %d nodes fail", len(failing), len(fleet.Nodes))
-			rest := bystander(fleet, failing)
+			running := otherNode(fleet, failing)
 			for _, node := range failing {
 				is.NoErr(node.Process.Signal(c.signal))
 			}
-			version := apply(t, fleet, "quoting", quoting("/changed"), rest)
-			is.NoErr(fleet.WaitVersion(t.Context(), version, len(fleet.Nodes)-len(failing), converged))
+			version := apply(t, fleet, "quoting", quotingSettings("/changed"), running)
+			is.NoErr(fleet.WaitVersion(t.Context(), version, len(fleet.Nodes)-len(failing), convergenceLimit))
 			if c.signal != syscall.SIGSTOP {
 				return
 			}
 			for _, node := range failing {
 				is.NoErr(node.Process.Signal(syscall.SIGCONT))
 			}
-			is.NoErr(fleet.WaitVersion(t.Context(), version, len(fleet.Nodes), converged))
+			is.NoErr(fleet.WaitVersion(t.Context(), version, len(fleet.Nodes), convergenceLimit))
 		})
 	}
 }
 
-// Guards against nodes that wait for the failure detection when every peer
-// that they are linked with is paused: here only north-2-n1 and
-// north-2-n2 have a running neighbour, and no watcher runs.
+// Guards against changes that wait for failure detection when all peers that a
+// node has links with are paused. Here only north-2-n1 and north-2-n2 have a
+// running neighbour, and all watchers are paused.
 func TestMostNodesPause(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
-	// Links of the first contacts, which bring a change as well, stay open for
-	// 10 s.
+	// Links to the initial peers stay open for 10 s and would spread the change
+	// too.
 	time.Sleep(13 * time.Second)
 	running := map[string]bool{
 		"kigali-1-n1": true, "kigali-2-n2": true, "north-1-n2": true, "north-2-n1": true,
@@ -113,24 +114,25 @@
 			is.NoErr(node.Process.Signal(syscall.SIGSTOP))
 		}
 	}
-	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Node("kigali-1-n1"))
-	is.NoErr(fleet.WaitVersion(t.Context(), version, len(running), converged))
+	version := apply(t, fleet, "quoting", quotingSettings("/changed"), fleet.Node("kigali-1-n1"))
+	is.NoErr(fleet.WaitVersion(t.Context(), version, len(running), convergenceLimit))
 }
 
-// Guards against a restarted node that serves an older version than one it
-// had: while the store is down it gets the newest one from its peers before it
-// is ready.
+// Guards against a restarted node that becomes ready with an older version than
+// it had before. While the store is down it must fetch the newest version from
+// its peers first.
 func TestRestartDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(2)})
 	ctx := t.Context()
-	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[1])
-	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
+	version := apply(t, fleet, "quoting", quotingSettings("/changed"), fleet.Nodes[1])
+	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), convergenceLimit))
 	node := fleet.Nodes[0]
 	node.Process.Kill()
 	is.NoErr(fleet.StoreFaults(ctx, map[string]any{"rules": []map[string]any{{"kind": "refuse"}}}))
-	// The store is down, so the first peers come from the settings.
+	// The node cannot read its initial peers from the store, so they come from its
+	// settings.
 	fleet.Seed(node, fleet.Nodes[1], fleet.Nodes[2])
 	is.NoErr(fleet.StartNode(ctx, node))
 	is.NoErr(fleet.WaitReady(ctx, node))
@@ -139,15 +141,15 @@
 	is.Equal(s.Version, version)
 }
 
-// Guards against nodes that serve nothing or something older when all of them
-// restart while the store is slow.
-func TestHerdRestart(t *testing.T) {
+// Guards against nodes that become ready with no version or an older one when
+// the whole fleet restarts at once while the store is slow.
+func TestFleetRestart(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(3)})
 	ctx := t.Context()
-	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[1])
-	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
+	version := apply(t, fleet, "quoting", quotingSettings("/changed"), fleet.Nodes[1])
+	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), convergenceLimit))
 	for _, node := range fleet.Nodes {
 		node.Process.Kill()
 	}
@@ -164,45 +166,46 @@
 }
 
 // Guards against a partition that stops an availability zone from serving, or
-// that ends with a storm or with an older version.
+// whose end causes a traffic storm or makes nodes apply an older version.
 func TestPartition(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(2), Relays: true, Upstreams: true})
 	ctx := t.Context()
-	waitKnown(t, fleet, "quoting") // nodes that are cut off can't learn of each other
+	waitAllReady(t, fleet, "quoting") // Partitioned nodes cannot discover each other.
 	isolated := "north-1"
 	inside := fleet.In(isolated)
-	is.NoErr(deployer.Eventually(ctx, converged, func() bool { return answers(ctx, inside[1], "quotes.example", "/quotes/1") }))
+	is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool { return callAnswered(ctx, inside[1], "quotes.example", "/quotes/1") }))
 	fleet.Partition(isolated)
-	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[0])
-	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes)-len(inside), converged))
-	// The zone goes on with the version that it has and with its own upstream.
-	is.NoErr(deployer.Eventually(ctx, converged, func() bool { return answers(ctx, inside[1], "quotes.example", "/quotes/1") }))
+	version := apply(t, fleet, "quoting", quotingSettings("/changed"), fleet.Nodes[0])
+	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes)-len(inside), convergenceLimit))
+	// The zone keeps serving with the version that it has and its own upstream.
+	is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool { return callAnswered(ctx, inside[1], "quotes.example", "/quotes/1") }))
 	is.Equal(fleet.Observer.Count(version), len(fleet.Nodes)-len(inside))
 	fleet.Heal()
-	// Dials back off up to 10 s during a partition, then one exchange follows.
-	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), 10*time.Second+converged))
+	// The backoff between dials reaches 10 s during a partition. The first exchange
+	// follows the dial.
+	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), 10*time.Second+convergenceLimit))
 }
 
-// Guards against a frozen network between availability zones that keeps old
-// connections in use after it thaws or is replaced.
+// Guards against nodes that keep using stalled connections after the network
+// between availability zones has dropped all traffic and recovered.
 func TestFreeze(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(2), Relays: true})
 	ctx := t.Context()
 	fleet.Freeze("south-1")
-	version := apply(t, fleet, "quoting", quoting("/changed"), fleet.Nodes[0])
-	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes)-2, converged))
+	version := apply(t, fleet, "quoting", quotingSettings("/changed"), fleet.Nodes[0])
+	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes)-2, convergenceLimit))
 	fleet.Heal()
-	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), 10*time.Second+converged))
+	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), 10*time.Second+convergenceLimit))
 }
 
 // Guards against changes that are accepted twice, lost silently or reported
-// wrongly while operators race through different nodes and the store loses
-// every third answer after the write took effect.
-func TestOperatorsRace(t *testing.T) {
+// with a wrong outcome. Operators submit concurrent changes through different
+// nodes while the store drops every third response to a write that took effect.
+func TestConcurrentOperators(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(1)})
@@ -218,8 +221,8 @@
 		group.Go(func() {
 			for round := range rounds {
 				prefix := fmt.Sprintf("/n%d-r%d", i, round)
-				limited, cancel := context.WithTimeout(ctx, 20*time.Second)
-				outcome, err := fleet.Apply(limited, "quoting", "quoting", quoting(prefix), node)
+				applyCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
+				outcome, err := fleet.Apply(applyCtx, "quoting", "quoting", quotingSettings(prefix), node)
 				cancel()
 				if err != nil {
 					t.Errorf("node %s round %d: %v", node.Name, round, err)
@@ -242,9 +245,9 @@
 		}
 	}
 	is.True(len(accepted) > 0)
-	is.NoErr(fleet.WaitVersion(ctx, newest, len(fleet.Nodes), converged))
-	// Every accepted change is in the history under its version, and nothing
-	// else of the team is.
+	is.NoErr(fleet.WaitVersion(ctx, newest, len(fleet.Nodes), convergenceLimit))
+	// The team's history must hold exactly the accepted changes, each under its
+	// version.
 	history := historyOf(t, fleet, fleet.Nodes[0])
 	inHistory := map[uint64]int{}
 	for _, change := range history {
@@ -255,22 +258,24 @@
 	is.Equal(inHistory, accepted)
 }
 
-type accepted struct {
+// historyEntry is the part of an accepted change in /v1/history that the tests
+// use.
+type historyEntry struct {
 	Version uint64 `json:"version"`
 	Team    string `json:"team"`
 }
 
-func historyOf(t *testing.T, fleet *deployer.Fleet, node *deployer.Node) []accepted {
+func historyOf(t *testing.T, fleet *deployer.Fleet, node *deployer.Node) []historyEntry {
 	t.Helper()
-	var history []accepted
+	var history []historyEntry
 	if err := fleet.Read(t.Context(), "quoting", node, "/v1/history?limit=1024", &history); err != nil {
 		t.Fatal(err)
 	}
 	return history
 }
 
-// answers reports whether a call through the node is answered by an upstream.
-func answers(ctx context.Context, node *deployer.Node, host, path string) bool {
+// callAnswered reports whether a call through the node gets status 200.
+func callAnswered(ctx context.Context, node *deployer.Node, host, path string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.Callers.String()+path, nil)
 	if err != nil {
 		return false
--- a/bench/system/doc.go
+++ b/bench/system/doc.go
@@ -1,2 +1,2 @@
-// Package system holds the tests of failures with real processes.
+// Package system tests the behavior of a fleet of real processes under failures.
 package system
--- a/bench/system/keys_test.go
+++ b/bench/system/keys_test.go
@@ -16,18 +16,18 @@
 	"sycamorerun/bench/scraper"
 )
 
-// Guards against a rolling restart that makes bookings uncertain: each node
-// hands its keys over, so a new booking runs, and the repetition of one that
-// ran before or during the restarts gets the recorded answer.
+// Guards against unknown results during and after a rolling restart. Each
+// stopping node must transfer its idempotency keys, so that new bookings run
+// and a retry of an earlier booking gets the recorded response.
 func TestRollingRestartKeepsKeys(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	ctx := t.Context()
 	fleet := startBookings(t, "--drain-delay", "500ms")
 
-	// Callers are at the first two nodes; the others restart.
+	// Callers use the first two nodes; the other nodes restart.
 	callers, restarting := fleet.Nodes[:2], fleet.Nodes[2:]
-	first := map[sycamorerun.Result]int{}
+	firstResults := map[sycamorerun.Result]int{}
 	var mutex sync.Mutex
 	var keys []string
 	stop := make(chan struct{})
@@ -44,7 +44,7 @@
 				key := fmt.Sprintf("roll-%d-%d", worker, i)
 				result, _, _ := call(ctx, node, http.MethodPost, "bookings.example", "/book", key, nil)
 				mutex.Lock()
-				first[result]++
+				firstResults[result]++
 				if result == sycamorerun.Answered {
 					keys = append(keys, key)
 				}
@@ -55,13 +55,13 @@
 	time.Sleep(500 * time.Millisecond)
 	for _, node := range restarting {
 		is.NoErr(node.Process.Signal(syscall.SIGTERM))
-		is.NoErr(deployer.Eventually(ctx, converged, func() bool {
+		is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool {
 			_, _, err := deployer.Get(ctx, node.Operators, "/healthz")
 			return err != nil
 		}))
 		is.NoErr(fleet.StartNode(ctx, node))
 		is.NoErr(fleet.WaitReady(ctx, node))
-		waitKnown(t, fleet, "admin")
+		waitAllReady(t, fleet, "admin")
 	}
 	close(stop)
 	group.Wait()
@@ -74,18 +74,18 @@
 		}))
 	}
 
-	repeated := map[sycamorerun.Result]int{}
+	retryResults := map[sycamorerun.Result]int{}
 	for i, key := range keys {
 		result, _, _ := call(ctx, fleet.Nodes[i%len(fleet.Nodes)], http.MethodPost, "bookings.example", "/book", key, nil)
-		repeated[result]++
+		retryResults[result]++
 	}
-	t.Logf("first calls %v, repetitions %v", first, repeated)
-	for key, count := range runs(t, fleet) {
+	t.Logf("first attempts %v, retries %v", firstResults, retryResults)
+	for key, count := range executionsByKey(t, fleet) {
 		if count > 1 {
 			t.Errorf("booking %s ran %d times", key, count)
 		}
 	}
-	is.True(len(keys) > 100) // the load was real
-	is.Equal(first[sycamorerun.Unknown], 0)
-	is.Equal(repeated[sycamorerun.Answered], len(keys))
+	is.True(len(keys) > 100) // The checks above need enough load.
+	is.Equal(firstResults[sycamorerun.Unknown], 0)
+	is.Equal(retryResults[sycamorerun.Answered], len(keys))
 }
--- a/bench/system/main_test.go
+++ b/bench/system/main_test.go
@@ -14,14 +14,14 @@
 	"sycamorerun/bench/deployer"
 )
 
-// converged is the users' bound on the time until a change is in force
-// everywhere.
-const converged = 7 * time.Second
+// convergenceLimit is the users' bound on the time until all nodes have applied
+// an accepted change.
+const convergenceLimit = 7 * time.Second
 
-// binaries is the directory of the programs.
-var binaries string
+// binaryDir is the directory of the built programs.
+var binaryDir string
 
-// TestMain builds the programs once.
+// TestMain builds the programs once for all tests.
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
 }
@@ -33,7 +33,7 @@
 		return 1
 	}
 	defer os.RemoveAll(directory)
-	binaries = directory
+	binaryDir = directory
 	build := exec.Command("go", "build", "-o", directory+string(filepath.Separator),
 		"sycamorerun/node/cmd/srnode", "sycamorerun/objectstore/cmd/srstore", "sycamorerun/upstream/cmd/srupstream")
 	if output, err := build.CombinedOutput(); err != nil {
@@ -43,8 +43,8 @@
 	return m.Run()
 }
 
-// start starts a fleet with two teams declared and the route of team quoting
-// to its service in force.
+// start starts a fleet and waits until the settings of teams quoting and surveys
+// are applied at all nodes.
 func start(t *testing.T, spec deployer.Spec) *deployer.Fleet {
 	t.Helper()
 	fleet := startEmpty(t, spec)
@@ -52,11 +52,11 @@
 	return fleet
 }
 
-// startEmpty starts a fleet that has no version yet.
+// startEmpty starts a fleet without any accepted change.
 func startEmpty(t *testing.T, spec deployer.Spec) *deployer.Fleet {
 	t.Helper()
 	is := is.New(t)
-	spec.Binaries, spec.Directory = binaries, t.TempDir()
+	spec.Binaries, spec.Directory = binaryDir, t.TempDir()
 	if spec.Services == nil {
 		spec.Services = []string{"quote-desk", "survey-store"}
 	}
@@ -64,55 +64,56 @@
 	is.NoErr(err)
 	t.Cleanup(func() {
 		fleet.Stop()
-		if back := fleet.Observer.Backward(); len(back) > 0 {
-			t.Errorf("nodes went back to an older version: %v", back)
+		if nodes := fleet.Observer.Backward(); len(nodes) > 0 {
+			t.Errorf("nodes applied an older version after a newer one: %v", nodes)
 		}
 		if t.Failed() {
-			keepLogs(t, spec.Directory)
+			logProcessOutput(t, spec.Directory)
 		}
 	})
 	is.NoErr(fleet.Start(t.Context()))
 	return fleet
 }
 
-// configure declares the teams and applies the settings of two of them.
+// configure declares three teams, applies the settings of quoting and surveys and
+// waits until all nodes have applied them.
 func configure(t *testing.T, fleet *deployer.Fleet) {
 	t.Helper()
 	is := is.New(t)
 	ctx := t.Context()
 	is.NoErr(fleet.Teams(ctx, map[string]string{"quoting": "flow", "surveys": "flow", "careful": "review"}))
-	apply(t, fleet, "surveys", surveys, fleet.Nodes[0])
-	version := apply(t, fleet, "quoting", quoting("/quotes"), fleet.Nodes[0])
-	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
+	apply(t, fleet, "surveys", surveysSettings, fleet.Nodes[0])
+	version := apply(t, fleet, "quoting", quotingSettings("/quotes"), fleet.Nodes[0])
+	is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), convergenceLimit))
 }
 
-// startBookings starts one node with an upstream in each zone, which all know
-// each other before the first version, so that no key can have run before.
+// startBookings starts a node and an upstream in each zone and applies the first
+// change once all nodes know each other, so that no key can have run before.
 func startBookings(t *testing.T, args ...string) *deployer.Fleet {
 	t.Helper()
 	fleet := startEmpty(t, deployer.Spec{
 		Zones: deployer.Today(1), Upstreams: true, Services: []string{"quote-desk"}, NodeArgs: args,
 	})
-	waitKnown(t, fleet, "admin")
+	waitAllReady(t, fleet, "admin")
 	configure(t, fleet)
 	return fleet
 }
 
-// keepLogs prints the end of each process's log of a failed test.
-func keepLogs(t *testing.T, directory string) {
+// logProcessOutput logs the end of the log file of each process.
+func logProcessOutput(t *testing.T, directory string) {
 	files, _ := filepath.Glob(filepath.Join(directory, "*.log"))
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			continue
 		}
-		const most = 1500
-		t.Logf("%s:\n%s", filepath.Base(file), text[max(0, len(text)-most):])
+		const maxBytes = 1500
+		t.Logf("%s:\n%s", filepath.Base(file), text[max(0, len(text)-maxBytes):])
 	}
 }
 
-// apply submits settings, requires that they are accepted and returns the
-// version.
+// apply submits settings and returns the accepted version. It fails the test
+// when they are not accepted.
 func apply(t *testing.T, fleet *deployer.Fleet, team, text string, nodes ...*deployer.Node) uint64 {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -127,8 +128,9 @@
 	return *outcome.Version
 }
 
-// quoting returns settings of team quoting with the route's prefix.
-func quoting(prefix string) string {
+// quotingSettings returns settings of team quoting with prefix as the prefix of
+// route quotes.
+func quotingSettings(prefix string) string {
 	return fmt.Sprintf(`team: quoting
 services:
   quote-desk: {slots: 6, queue: 12, connections: 130, timeout: 5s, idle: 2s, warmup: 0s}
@@ -146,7 +148,7 @@
 `, prefix)
 }
 
-const surveys = `team: surveys
+const surveysSettings = `team: surveys
 services:
   survey-store: {slots: 6, queue: 12, connections: 130, timeout: 20s, idle: 5s, warmup: 0s}
 routes:
--- a/bench/system/membership_test.go
+++ b/bench/system/membership_test.go
@@ -8,7 +8,7 @@
 	"sycamorerun/bench/deployer"
 )
 
-// membersOf returns the members that a node knows, with their states.
+// membersOf returns the states of the members that a node knows, by name.
 func membersOf(t *testing.T, fleet *deployer.Fleet, node *deployer.Node, operator string) map[string]string {
 	t.Helper()
 	var members []struct {
@@ -25,11 +25,12 @@
 	return states
 }
 
-// waitKnown waits until every node knows the ready upstreams beside all nodes.
-func waitKnown(t *testing.T, fleet *deployer.Fleet, operator string) {
+// waitAllReady waits until every node knows all nodes as members with a ready
+// upstream.
+func waitAllReady(t *testing.T, fleet *deployer.Fleet, operator string) {
 	t.Helper()
 	is := is.New(t)
-	is.NoErr(deployer.Eventually(t.Context(), converged, func() bool {
+	is.NoErr(deployer.Eventually(t.Context(), convergenceLimit, func() bool {
 		for _, node := range fleet.Nodes {
 			ready := 0
 			for _, state := range membersOf(t, fleet, node, operator) {
@@ -46,14 +47,14 @@
 }
 
 // Guards against nodes that start at the same time and form groups that never
-// learn of each other. With one node in each zone this happened in about one
-// start of three; several fleets start here.
-func TestOneFleet(t *testing.T) {
+// discover each other. With one node in each zone this happened in about one
+// start of three, so several fleets are started.
+func TestSimultaneousStart(t *testing.T) {
 	for range 4 {
 		t.Run("start", func(t *testing.T) {
 			t.Parallel()
 			fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
-			waitKnown(t, fleet, "quoting")
+			waitAllReady(t, fleet, "quoting")
 		})
 	}
 }
--- a/bench/system/mixes_test.go
+++ b/bench/system/mixes_test.go
@@ -19,18 +19,19 @@
 	"sycamorerun/bench/mixer"
 )
 
-// mixSeed fixes the choices of the callers and of the failing nodes.
+// mixSeed makes the choices of the callers and of the failing nodes
+// reproducible.
 const mixSeed = 20261204
 
-// callers are the callers of each workload. The stock sync alone asks for more
-// than the slots and queues of its service.
-var callers = map[mixer.Kind]int{
+// callerCounts is the number of concurrent callers of each workload. Those of
+// mixer.Sync alone exceed the slots and queues of its service.
+var callerCounts = map[mixer.Kind]int{
 	mixer.Status: 4, mixer.Count: 4, mixer.Order: 16, mixer.Upload: 4, mixer.History: 4, mixer.Sync: 140,
 }
 
-// mixed returns the settings of the two teams of a deployment: one service
-// with status reads and orders, one with everything else.
-func mixed(desk, store string) map[string]string {
+// mixedSettings returns the settings of both teams of a deployment. Service desk
+// gets status reads and orders, service store all other workloads.
+func mixedSettings(desk, store string) map[string]string {
 	route := func(kind mixer.Kind, class sycamorerun.Class, service string) string {
 		return fmt.Sprintf("  %s: {hosts: [%s.example], prefix: /, class: %s, split: [{service: %s, weight: 100}]}\n", kind, kind, class, service)
 	}
@@ -44,11 +45,11 @@
 	}
 }
 
-// Guards against promises that hold for one kind of call or failure at a time
-// only. All workloads of a deployment run at once, one service is overloaded by
-// the background class, and then first an upstream drains and a node stops, and
-// later nodes and upstreams are killed and paused and connections are cut.
-func TestMixes(t *testing.T) {
+// Guards against guarantees that hold only for one kind of call or one failure
+// at a time. All workloads of a deployment run at once, and the background class
+// overloads one service. First an upstream drains and a node stops gracefully.
+// Then nodes and upstreams are killed and paused, and connections are closed.
+func TestMixedWorkloads(t *testing.T) {
 	cases := map[string]struct {
 		spec  deployer.Spec
 		desk  string
@@ -62,142 +63,144 @@
 			t.Parallel()
 			is := is.New(t)
 			fleet := startEmpty(t, c.spec)
-			// With the members known before the first version no key has moved.
-			waitKnown(t, fleet, "admin")
+			// When all members are known before the first version, no key changes its
+			// owner.
+			waitAllReady(t, fleet, "admin")
 			configure(t, fleet)
 			ctx := t.Context()
 			var version uint64
-			for team, text := range mixed(c.desk, c.store) {
+			for team, text := range mixedSettings(c.desk, c.store) {
 				version = max(version, apply(t, fleet, team, text, fleet.Nodes[0]))
 			}
-			is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), converged))
-			victims := chooseVictims(fleet, c.desk, c.store)
-			t.Logf("victims: %s", victims)
+			is.NoErr(fleet.WaitVersion(ctx, version, len(fleet.Nodes), convergenceLimit))
+			targets := chooseFaultTargets(fleet, c.desk, c.store)
+			t.Logf("fault targets: %s", targets)
 
 			names, entries := []string{}, map[string]netip.AddrPort{}
 			for _, node := range fleet.Nodes {
 				entries[node.Name] = node.Callers
-				if node != victims.stopped {
+				if node != targets.stopped {
 					names = append(names, node.Name)
 				}
 			}
-			callers := mixer.New(names, entries, callers, mixSeed)
-			mixing, end := context.WithCancel(ctx)
-			defer end()
+			callers := mixer.New(names, entries, callerCounts, mixSeed)
+			loadCtx, stopLoad := context.WithCancel(ctx)
+			defer stopLoad()
 			var group sync.WaitGroup
 			defer group.Wait()
-			defer end()
-			group.Go(func() { callers.Run(mixing) })
-			time.Sleep(500 * time.Millisecond) // Until the service is overloaded.
+			defer stopLoad()
+			group.Go(func() { callers.Run(loadCtx) })
+			time.Sleep(500 * time.Millisecond) // Wait until the service is overloaded.
 
-			planned := time.Now()
-			before := stopPlanned(t, victims, callers)
-			failing := time.Now()
-			failAll(t, fleet, victims)
-			recovered := time.Now()
+			stopsStart := time.Now()
+			before := runPlannedStops(t, targets, callers)
+			faultsStart := time.Now()
+			injectFailures(t, fleet, targets)
+			recoveryStart := time.Now()
 			time.Sleep(1500 * time.Millisecond)
-			end()
+			stopLoad()
 			group.Wait()
 
-			for _, node := range []*deployer.Node{victims.drained, victims.stopped} {
+			for _, node := range []*deployer.Node{targets.drained, targets.stopped} {
 				records, err := recordsOf(ctx, node)
 				is.NoErr(err)
-				t.Logf("%s: %d requests %s after it began to leave, %d at the end", node.Name, before[node], few, records.Requests)
+				t.Logf("%s: %d requests %s after the start of its drain, %d at the end", node.Name, before[node], drainLimit, records.Requests)
 				is.Equal(records.Requests, before[node])
-				is.True(records.LastAfterDrain <= few)
+				is.True(records.LastAfterDrain <= drainLimit)
 			}
 			items := callers.Items()
-			for _, fault := range mixer.Judge(items, recorded(t, fleet)) {
+			for _, fault := range mixer.Judge(items, sumJournals(t, fleet)) {
 				t.Error(fault)
 			}
-			judgePlanned(t, items, planned, failing)
-			report(t, "planned stops", items, planned, failing)
-			report(t, "failures", items, failing, recovered)
-			report(t, "recovery", items, recovered, time.Now())
+			checkPlannedStops(t, items, stopsStart, faultsStart)
+			logPhase(t, "planned stops", items, stopsStart, faultsStart)
+			logPhase(t, "failures", items, faultsStart, recoveryStart)
+			logPhase(t, "recovery", items, recoveryStart, time.Now())
 			for name, phase := range map[string]struct {
 				from, to time.Time
-				// reads and orders are the least shares of answered calls. While four
+				// reads and orders are the minimum shares of answered calls. While four
 				// of the seven or eight instances of a service fail, about half of the
-				// orders must be answered. Afterwards the keys of the killed node may
-				// stay unknown, one of seven; as much again is left for the callers
-				// that make one attempt only.
+				// orders must be answered. Afterwards the keys of the killed node, a
+				// seventh of all, may still return unknown; the same share is allowed
+				// for callers that make only one attempt.
 				reads, orders float64
 			}{
-				"planned stops": {planned, failing, 1, 0.9},
-				"failures":      {failing, recovered, 0.99, 0.5},
-				"recovery":      {recovered, time.Now(), 1, 0.7},
+				"planned stops": {stopsStart, faultsStart, 1, 0.9},
+				"failures":      {faultsStart, recoveryStart, 0.99, 0.5},
+				"recovery":      {recoveryStart, time.Now(), 1, 0.7},
 			} {
-				if share := answeredShare(within(items, phase.from, phase.to, mixer.Status, mixer.Count)); share < phase.reads {
-					t.Errorf("%s: %.4f of the interactive reads were answered, %.2f wanted", name, share, phase.reads)
+				if share := answeredShare(itemsWithin(items, phase.from, phase.to, mixer.Status, mixer.Count)); share < phase.reads {
+					t.Errorf("%s: share of answered interactive reads is %.4f, want at least %.2f", name, share, phase.reads)
 				}
 				t.Run("orders during "+name, func(t *testing.T) {
-					if share := answeredShare(within(items, phase.from, phase.to, mixer.Order)); share < phase.orders {
-						t.Errorf("%.4f of the orders were answered, %.2f wanted", share, phase.orders)
+					if share := answeredShare(itemsWithin(items, phase.from, phase.to, mixer.Order)); share < phase.orders {
+						t.Errorf("share of answered orders is %.4f, want at least %.2f", share, phase.orders)
 					}
 				})
 			}
 			refused := 0
-			for _, item := range within(items, planned, recovered, mixer.Sync) {
+			for _, item := range itemsWithin(items, stopsStart, recoveryStart, mixer.Sync) {
 				if !item.Answered() {
 					refused++
 				}
 			}
-			is.True(refused > 0) // The overload was real.
+			is.True(refused > 0) // The service must have been overloaded.
 		})
 	}
 }
 
-// victims are the nodes that leave or fail, no node twice.
-type victims struct {
-	// drained is a node whose upstream drains, stopped one that gets SIGTERM.
+// faultTargets holds the nodes that are stopped or made to fail, each in one
+// field only.
+type faultTargets struct {
+	// drained is a node whose upstream drains, stopped a node that gets SIGTERM.
 	drained, stopped *deployer.Node
-	// killed and paused are nodes, crashed and stuck nodes whose upstream is
-	// killed and paused.
+	// killed and paused are nodes whose own process is killed and paused, crashed
+	// and stuck are nodes whose upstream is killed and paused.
 	killed, paused, crashed, stuck *deployer.Node
-	// cut is the availability zone whose connections are closed.
-	cut string
+	// cutZone is the availability zone whose connections are closed.
+	cutZone string
 }
 
-func (v victims) String() string {
+func (v faultTargets) String() string {
 	return fmt.Sprintf("drained %s, stopped %s, killed %s, paused %s, crashed upstream %s, stuck upstream %s, cut %s",
-		v.drained.Name, v.stopped.Name, v.killed.Name, v.paused.Name, v.crashed.Name, v.stuck.Name, v.cut)
+		v.drained.Name, v.stopped.Name, v.killed.Name, v.paused.Name, v.crashed.Name, v.stuck.Name, v.cutZone)
 }
 
-// chooseVictims takes three nodes of each service at random. At least half of
-// a service stays.
-func chooseVictims(fleet *deployer.Fleet, desk, store string) victims {
+// chooseFaultTargets picks three nodes of each service at random, so that at
+// least half of each service remains.
+func chooseFaultTargets(fleet *deployer.Fleet, desk, store string) faultTargets {
 	random := rand.New(rand.NewPCG(mixSeed, 0))
-	take := func(service string) []*deployer.Node {
+	shuffledNodes := func(service string) []*deployer.Node {
 		nodes := slices.DeleteFunc(slices.Clone(fleet.Nodes), func(n *deployer.Node) bool { return n.Service != service })
 		random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 		return nodes
 	}
-	desks, stores := take(desk), take(store)
-	return victims{
+	desks, stores := shuffledNodes(desk), shuffledNodes(store)
+	return faultTargets{
 		drained: stores[0], stopped: desks[0], killed: desks[1], paused: desks[2], crashed: stores[1], stuck: stores[2],
-		cut: fleet.Spec.Zones[random.IntN(len(fleet.Spec.Zones))].Name,
+		cutZone: fleet.Spec.Zones[random.IntN(len(fleet.Spec.Zones))].Name,
 	}
 }
 
-// stopPlanned drains an upstream and stops a node with calls in flight, and
-// returns the number of requests at both upstreams after a few seconds.
-func stopPlanned(t *testing.T, v victims, callers *mixer.Mixer) map[*deployer.Node]int {
+// runPlannedStops drains one upstream and stops another node with calls in
+// flight. It returns the number of requests at both upstreams after drainLimit.
+func runPlannedStops(t *testing.T, v faultTargets, callers *mixer.Mixer) map[*deployer.Node]int {
 	t.Helper()
 	is := is.New(t)
 	ctx := t.Context()
 	var group sync.WaitGroup
 	for i := range 4 {
 		group.Go(func() {
-			told := callers.Ask(ctx, v.stopped.Name, &mixer.Item{Kind: mixer.History, ID: fmt.Sprintf("in-flight-%d", i)}, nil)
-			if !told.Answered() || !told.Whole {
-				t.Errorf("a call in flight at the stopped node: %+v", told)
+			attempt := callers.Ask(ctx, v.stopped.Name, &mixer.Item{Kind: mixer.History, ID: fmt.Sprintf("in-flight-%d", i)}, nil)
+			if !attempt.Answered() || !attempt.Whole {
+				t.Errorf("call in flight at the stopped node was not answered: %+v", attempt)
 			}
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
 	is.NoErr(deployer.Put(ctx, v.drained.Control, "/behavior", map[string]any{"state": "draining"}))
 	is.NoErr(v.stopped.Process.Signal(syscall.SIGTERM))
-	time.Sleep(few)
+	time.Sleep(drainLimit)
 	group.Wait()
 	requests := map[*deployer.Node]int{}
 	for _, node := range []*deployer.Node{v.drained, v.stopped} {
@@ -209,15 +212,16 @@
 	return requests
 }
 
-// failAll makes nodes, upstreams and connections fail, and ends all failures.
-func failAll(t *testing.T, fleet *deployer.Fleet, v victims) {
+// injectFailures makes nodes, upstreams and connections fail and then ends all
+// failures.
+func injectFailures(t *testing.T, fleet *deployer.Fleet, v faultTargets) {
 	t.Helper()
 	is := is.New(t)
 	ctx := t.Context()
 	v.killed.Process.Kill()
 	is.NoErr(v.paused.Process.Signal(syscall.SIGSTOP))
 	time.Sleep(500 * time.Millisecond)
-	fleet.Partition(v.cut)
+	fleet.Partition(v.cutZone)
 	time.Sleep(200 * time.Millisecond)
 	fleet.Heal()
 	v.crashed.UpstreamProcess.Kill()
@@ -229,13 +233,13 @@
 	time.Sleep(1500 * time.Millisecond)
 	is.NoErr(v.stuck.UpstreamProcess.Signal(syscall.SIGCONT))
 	time.Sleep(500 * time.Millisecond)
-	// The node was silent for longer than its links wait before they are closed.
+	// The pause is longer than the time after which peers close a silent link.
 	is.NoErr(v.paused.Process.Signal(syscall.SIGCONT))
 	time.Sleep(500 * time.Millisecond)
 }
 
-// recorded adds up the journals of all upstreams.
-func recorded(t *testing.T, fleet *deployer.Fleet) mixer.Records {
+// sumJournals sums the journals of all upstreams.
+func sumJournals(t *testing.T, fleet *deployer.Fleet) mixer.Records {
 	t.Helper()
 	sum := mixer.Records{Runs: map[string]int{}, Uploads: map[string]int{}}
 	for _, node := range fleet.Nodes {
@@ -253,28 +257,31 @@
 	return sum
 }
 
-// judgePlanned reports calls that a planned stop interrupted. A call with a key
-// can be unknown because its instance left.
-func judgePlanned(t *testing.T, items []*mixer.Item, from, to time.Time) {
+// checkPlannedStops fails the test for each call that a planned stop
+// interrupted. An order may return unknown when the instance that holds its key
+// has left.
+func checkPlannedStops(t *testing.T, items []*mixer.Item, from, to time.Time) {
 	t.Helper()
 	for _, item := range items {
-		for _, told := range item.Told {
-			moved := item.Kind == mixer.Order && strings.HasPrefix(told.Reason, "key-")
-			if told.Result == sycamorerun.Unknown && !moved && told.Began.After(from) && told.Began.Add(told.Took).Before(to) {
-				t.Errorf("%s was interrupted during planned stops: %+v", item.ID, told)
+		for _, attempt := range item.Told {
+			excused := item.Kind == mixer.Order && strings.HasPrefix(attempt.Reason, "key-")
+			if attempt.Result == sycamorerun.Unknown && !excused && attempt.Began.After(from) && attempt.Began.Add(attempt.Took).Before(to) {
+				t.Errorf("%s was interrupted during planned stops: %+v", item.ID, attempt)
 			}
 		}
 	}
 }
 
-// within returns the items of some kinds whose attempts all lie in a phase.
-func within(items []*mixer.Item, from, to time.Time, kinds ...mixer.Kind) []*mixer.Item {
+// itemsWithin returns the items of the given kinds whose attempts all lie between
+// from and to.
+func itemsWithin(items []*mixer.Item, from, to time.Time, kinds ...mixer.Kind) []*mixer.Item {
 	return slices.DeleteFunc(slices.Clone(items), func(item *mixer.Item) bool {
 		last := item.Told[len(item.Told)-1]
 		return !slices.Contains(kinds, item.Kind) || item.Told[0].Began.Before(from) || last.Began.Add(last.Took).After(to)
 	})
 }
 
+// answeredShare returns the share of items that were answered.
 func answeredShare(items []*mixer.Item) float64 {
 	answered := 0
 	for _, item := range items {
@@ -285,27 +292,27 @@
 	return float64(answered) / float64(len(items))
 }
 
-// report logs how the calls of each kind ended in a phase.
-func report(t *testing.T, phase string, items []*mixer.Item, from, to time.Time) {
+// logPhase logs the results and latencies of the calls of each kind in a phase.
+func logPhase(t *testing.T, phase string, items []*mixer.Item, from, to time.Time) {
 	t.Helper()
 	for _, kind := range []mixer.Kind{mixer.Status, mixer.Count, mixer.Order, mixer.Upload, mixer.History, mixer.Sync} {
 		reasons := map[string]int{}
-		var took []time.Duration
-		phased := within(items, from, to, kind)
-		for _, item := range phased {
-			for _, told := range item.Told {
-				if told.Answered() {
-					took = append(took, told.Took)
+		var durations []time.Duration
+		phaseItems := itemsWithin(items, from, to, kind)
+		for _, item := range phaseItems {
+			for _, attempt := range item.Told {
+				if attempt.Answered() {
+					durations = append(durations, attempt.Took)
 					continue
 				}
-				reasons[fmt.Sprintf("%s %d %s", told.Result, told.Status, told.Reason)]++
+				reasons[fmt.Sprintf("%s %d %s", attempt.Result, attempt.Status, attempt.Reason)]++
 			}
 		}
-		slices.Sort(took)
-		if len(took) == 0 {
-			took = append(took, 0)
+		slices.Sort(durations)
+		if len(durations) == 0 {
+			durations = append(durations, 0)
 		}
-		t.Logf("%s, %s: %d calls, %.4f answered, p50 %s, p99 %s; attempts not answered: %v", phase, kind, len(phased),
-			answeredShare(phased), took[len(took)/2].Round(time.Millisecond), took[len(took)*99/100].Round(time.Millisecond), reasons)
+		t.Logf("%s, %s: %d calls, %.4f answered, p50 %s, p99 %s; attempts not answered: %v", phase, kind, len(phaseItems),
+			answeredShare(phaseItems), durations[len(durations)/2].Round(time.Millisecond), durations[len(durations)*99/100].Round(time.Millisecond), reasons)
 	}
 }
--- a/bench/system/route_test.go
+++ b/bench/system/route_test.go
@@ -12,17 +12,17 @@
 	"sycamorerun/bench/deployer"
 )
 
-// Guards against an upstream's end that operators see neither in the status
-// nor in the routes, metrics and log, or more than once.
+// Guards against a route without upstream that is missing from the status, the
+// routes, the metrics or the log, or that is logged more than once.
 func TestRouteWithoutUpstream(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(1), Upstreams: true})
 	ctx := t.Context()
-	waitKnown(t, fleet, "quoting")
-	time.Sleep(5 * time.Second) // Nodes report from 5 s after they became ready.
+	waitAllReady(t, fleet, "quoting")
+	time.Sleep(5 * time.Second) // Nodes report routes only from 5 s after they became ready.
 	observer := fleet.Nodes[1]
-	unserved := func() string {
+	unservedRoutes := func() string {
 		var routes []struct{ Route, State string }
 		if fleet.Read(ctx, "quoting", observer, "/v1/routes", &routes) != nil {
 			return "unreadable"
@@ -35,7 +35,7 @@
 		}
 		return strings.Join(names, ",")
 	}
-	is.Equal(unserved(), "")
+	is.Equal(unservedRoutes(), "")
 	var stopped []*deployer.Node
 	for _, node := range fleet.Nodes {
 		if node.Service == "survey-store" {
@@ -43,10 +43,10 @@
 			is.NoErr(deployer.Put(ctx, node.Control, "/behavior", map[string]any{"state": "draining"}))
 		}
 	}
-	is.NoErr(deployer.Eventually(ctx, converged, func() bool { return unserved() == "unserved surveys/route/photos" }))
-	is.NoErr(deployer.Eventually(ctx, converged, func() bool {
+	is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool { return unservedRoutes() == "unserved surveys/route/photos" }))
+	is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool {
 		_, metrics, err := deployer.Get(ctx, observer.Operators, "/metrics")
-		return err == nil && gauge(string(metrics), "sycamorerun_reporter_unserved_routes") == "1"
+		return err == nil && gaugeValue(string(metrics), "sycamorerun_reporter_unserved_routes") == "1"
 	}))
 	var s struct{ Unserved int }
 	is.NoErr(fleet.Read(ctx, "quoting", observer, "/v1/status", &s))
@@ -57,20 +57,21 @@
 	for _, node := range stopped {
 		is.NoErr(deployer.Put(ctx, node.Control, "/behavior", map[string]any{"state": "ready"}))
 	}
-	is.NoErr(deployer.Eventually(ctx, converged, func() bool { return unserved() == "" }))
-	// The node answers operators with the new members before it logs the line.
-	count := func(line string) int {
+	is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool { return unservedRoutes() == "" }))
+	// The API shows the new members before the node logs the message.
+	countInLog := func(line string) int {
 		text, err := os.ReadFile(filepath.Join(fleet.Spec.Directory, observer.Name+".log"))
 		is.NoErr(err)
 		return strings.Count(string(text), line)
 	}
-	is.NoErr(deployer.Eventually(ctx, converged, func() bool { return count("routes have upstreams again") > 0 }))
-	is.Equal(count("routes have upstreams again"), 1)
-	is.Equal(count("routes have no upstream; their calls are not run"), 1)
+	is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool { return countInLog("routes have upstreams again") > 0 }))
+	is.Equal(countInLog("routes have upstreams again"), 1)
+	is.Equal(countInLog("routes have no upstream; their calls are not run"), 1)
 }
 
-// gauge returns the value of a gauge in the text of the metrics page.
-func gauge(text, name string) string {
+// gaugeValue returns the value of the gauge name in the text of the metrics page,
+// or "" if it is missing.
+func gaugeValue(text, name string) string {
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, name+"{") {
 			fields := strings.Fields(line)
--- a/bench/system/stop_test.go
+++ b/bench/system/stop_test.go
@@ -12,10 +12,10 @@
 	"sycamorerun/bench/stresser"
 )
 
-// Guards against a draining node that looks dead or ready to its supervisor,
-// one that a supervisor ends by repeating SIGTERM, and one that can't be ended
-// with SIGINT before its drain is over.
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+// Guards against a draining node that its supervisor sees as unhealthy or still
+// ready, that a second SIGTERM ends before its drain is over, or that SIGINT
+// does not end at once.
+func TestSignalsDuringDrain(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	fleet := start(t, deployer.Spec{Zones: deployer.Today(1)[:2], NodeArgs: []string{"--drain-delay", "1m"}})
@@ -30,7 +30,7 @@
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.NoErr(node.Process.Signal(syscall.SIGTERM))
-	for begun := time.Now(); time.Since(begun) < time.Second; time.Sleep(50 * time.Millisecond) {
+	for started := time.Now(); time.Since(started) < time.Second; time.Sleep(50 * time.Millisecond) {
 		_, _, err = deployer.Get(ctx, node.Operators, "/healthz")
 		is.NoErr(err)
 	}
@@ -43,19 +43,19 @@
 	is.NoErr(fleet.Nodes[0].Process.Signal(syscall.SIGINT))
 }
 
-// Guards against new work for a leaving upstream, measured under load by the
-// upstream's own records. The node refuses new calls from 3 s after the drain
-// began (design, section 7), and the others know of it earlier.
+// Guards against new requests to a leaving upstream, counted under load by the
+// upstream itself. Its node refuses new calls from 3 s after the start of the
+// drain (design, section 7), and the other nodes learn of the drain earlier.
 func TestLastRequestAfterDrain(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	const refused = 3 * time.Second
-	leaves, err := stresser.Leaves(t.Context(), stresser.Case{Binaries: binaries, Directory: t.TempDir(), Rate: 200})
+	const refusalDelay = 3 * time.Second
+	leaves, err := stresser.Leaves(t.Context(), stresser.Case{Binaries: binaryDir, Directory: t.TempDir(), Rate: 200})
 	is.NoErr(err)
 	for _, l := range leaves {
 		t.Logf("%+v", l)
 		is.True(l.Before > 0)
-		is.True(l.Last <= refused)
+		is.True(l.Last <= refusalDelay)
 		is.Equal(l.Failed, 0)
 	}
 }
