--- a/node/forwarder/attempts.go
+++ b/node/forwarder/attempts.go
@@ -95,7 +95,7 @@
 		Result: failed.result, Reason: failed.reason, Repeatable: c.match.Repeatable, Consumed: consumed, SameInstance: c.key != "",
 	}
 	if !c.deadline.IsZero() {
-		if attempt.Left = c.deadline.Sub(now); attempt.Left <= 0 {
+		if attempt.TimeLeft = c.deadline.Sub(now); attempt.TimeLeft <= 0 {
 			return 0, false
 		}
 	}
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -254,8 +254,8 @@
 				response, err := fx.callerServer.Client().Get(fx.callerServer.URL + "/x")
 				is.NoErr(err)
 				is.NoErr(response.Body.Close())
-				is.True(got.Left > 0 && got.Left <= fx.match.Timeout)
-				c.want.Service, c.want.Number, c.want.CallerAttempt, c.want.Limit, c.want.Left = "s", 1, 1, 5, got.Left
+				is.True(got.TimeLeft > 0 && got.TimeLeft <= fx.match.Timeout)
+				c.want.Service, c.want.Number, c.want.CallerAttempt, c.want.Limit, c.want.TimeLeft = "s", 1, 1, 5, got.TimeLeft
 				is.Equal(got, c.want)
 				observed := <-fx.observed
 				if c.want.Reason == "busy" {
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -92,8 +92,8 @@
 	Limit int
 	// SameInstance says that the retry goes to the same instance.
 	SameInstance bool
-	// Left is the time until the deadline; zero means that there is none.
-	Left time.Duration
+	// TimeLeft is the time until the deadline; zero means that there is none.
+	TimeLeft time.Duration
 	// CallerAttempt is the attempt number in the caller's own request. It is
 	// above 1 if a node closer to the origin of the call chain is already
 	// retrying.
