--- a/node/forwarder/attempts.go
+++ b/node/forwarder/attempts.go
@@ -91,7 +91,7 @@
 	}
 	now := f.Now()
 	attempt := Attempt{
-		Service: c.match.Service, Number: n, Sends: sends, Sent: failed.sent, Limit: c.match.Attempts, CallerAttempt: c.callerAttempt,
+		Service: c.match.Service, Number: n, Sends: sends, Sent: failed.sent, Limit: c.match.Attempts, ParentAttempt: c.callerAttempt,
 		Result: failed.result, Reason: failed.reason, Repeatable: c.match.Repeatable, Consumed: consumed, SameInstance: c.key != "",
 	}
 	if !c.deadline.IsZero() {
--- a/node/forwarder/deadline_test.go
+++ b/node/forwarder/deadline_test.go
@@ -255,7 +255,7 @@
 				is.NoErr(err)
 				is.NoErr(response.Body.Close())
 				is.True(got.TimeLeft > 0 && got.TimeLeft <= fx.match.Timeout)
-				c.want.Service, c.want.Number, c.want.CallerAttempt, c.want.Limit, c.want.TimeLeft = "s", 1, 1, 5, got.TimeLeft
+				c.want.Service, c.want.Number, c.want.ParentAttempt, c.want.Limit, c.want.TimeLeft = "s", 1, 1, 5, got.TimeLeft
 				is.Equal(got, c.want)
 				observed := <-fx.observed
 				if c.want.Reason == "busy" {
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -94,10 +94,10 @@
 	SameInstance bool
 	// TimeLeft is the time until the deadline; zero means that there is none.
 	TimeLeft time.Duration
-	// CallerAttempt is the attempt number in the caller's own request. It is
+	// ParentAttempt is the attempt number in the caller's own request. It is
 	// above 1 if a node closer to the origin of the call chain is already
 	// retrying.
-	CallerAttempt int
+	ParentAttempt int
 	Result        sycamorerun.Result
 	Reason        string
 	Repeatable    bool
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -102,7 +102,7 @@
 	f.AllowRetry = func(now time.Time, a forwarder.Attempt) (time.Duration, bool) {
 		return c.retrier.Allow(now, retrier.Attempt{
 			Service: a.Service, Number: a.Number, Sends: a.Sends, Sent: a.Sent, Limit: a.Limit, SameInstance: a.SameInstance, TimeLeft: a.TimeLeft,
-			ParentAttempt: a.CallerAttempt, Result: a.Result,
+			ParentAttempt: a.ParentAttempt, Result: a.Result,
 			Repeatable: a.Repeatable, Consumed: a.Consumed, ResponseStarted: a.ResponseStarted,
 		})
 	}
