--- a/node/balancer/tier.go
+++ b/node/balancer/tier.go
@@ -63,32 +63,32 @@
 // speed of the upstream.
 func (c *candidate) projectedUtilization() float64 { return (c.load + 1) / (c.capacity * c.speed) }
 
-// commonFailureRate is the failure rate of the median instance from which failures
-// are attributed to the whole service, for example to a dependency or to the
-// requests of callers. Ejecting instances would then only overload the others, which
-// fail as often.
+// commonFailureRate is the lowest median failure rate at which failures are
+// attributed to the whole service, for example to a dependency or to the requests of
+// callers. Ejecting instances would then only overload the others, which fail as
+// often.
 const commonFailureRate = 0.2
 
 // markEjected marks at most half of the candidates as ejected. If more of them fail,
 // the instances are probably not the cause, and the rest would be overloaded.
 func markEjected(now time.Time, all []candidate) {
-	var out []*candidate
+	var ejected []*candidate
 	for at := range all {
 		if now.Before(all[at].stats.ejectionEnd()) {
-			out = append(out, &all[at])
+			ejected = append(ejected, &all[at])
 		}
 	}
-	if len(out) == 0 {
+	if len(ejected) == 0 {
 		return
 	}
 	if medianFailureRate(now, all) >= commonFailureRate {
-		out = slices.DeleteFunc(out, func(c *candidate) bool { return !now.Before(c.stats.unreachableUntil) })
+		ejected = slices.DeleteFunc(ejected, func(c *candidate) bool { return !now.Before(c.stats.unreachableUntil) })
 	}
 	// The instances that failed most often have the longest ejections.
-	slices.SortStableFunc(out, func(a, b *candidate) int {
+	slices.SortStableFunc(ejected, func(a, b *candidate) int {
 		return cmp.Or(b.stats.ejectionEnd().Compare(a.stats.ejectionEnd()), cmp.Compare(a.instance.Name, b.instance.Name))
 	})
-	for _, c := range out[:min(len(out), len(all)/2)] {
+	for _, c := range ejected[:min(len(ejected), len(all)/2)] {
 		c.ejected = true
 	}
 }
--- a/node/limiter/limiter.go
+++ b/node/limiter/limiter.go
@@ -42,7 +42,7 @@
 
 // Request describes a call that requests a slot.
 type Request struct {
-	// Rank is the priority of the call, from 1 (first) to MaxRank (last).
+	// Rank is the priority of the call, from 1 (the most urgent) to MaxRank.
 	Rank int
 	// Deadline is the time by which the call must end; zero means none.
 	Deadline time.Time
--- a/node/router/table.go
+++ b/node/router/table.go
@@ -162,7 +162,7 @@
 			return target
 		}
 	}
-	panic("router: a draw below the total has a share")
+	panic("router: no split target for a draw below the total weight")
 }
 
 func (r *route) matches(request Request) bool {
