--- a/node/forwarder/attempts.go
+++ b/node/forwarder/attempts.go
@@ -91,7 +91,7 @@
 	}
 	now := f.Now()
 	attempt := Attempt{
-		Service: c.match.Service, Number: n, Sends: sends, Sent: failed.sent, Limit: c.match.Attempts, ParentAttempt: c.callerAttempt,
+		Service: c.match.Service, Number: n, Sends: sends, Sent: failed.sent, Limit: c.match.Attempts, ParentAttempt: c.parentAttempt,
 		Result: failed.result, Reason: failed.reason, Repeatable: c.match.Repeatable, Consumed: consumed, SameInstance: c.key != "",
 	}
 	if !c.deadline.IsZero() {
@@ -102,9 +102,9 @@
 	return f.AllowRetry(now, attempt)
 }
 
-// ownerChangeDelays are the delays before a call is sent again whose key changes
-// its owner, because the announcement of the new owner takes some time to reach
-// this node. These attempts are not charged to the retry budget: the node that
+// ownerChangeDelays are the delays before a call is sent again while the
+// ownership of its key is being transferred, since the announcement of the new
+// owner takes some time to reach this node. These attempts are not charged to the retry budget: the node that
 // refused the call did no work and no upstream has seen it.
 var ownerChangeDelays = []time.Duration{
 	20 * time.Millisecond, 40 * time.Millisecond, 80 * time.Millisecond,
@@ -116,7 +116,7 @@
 	if ctx.Err() != nil {
 		return nil, notRun(endReason(ctx, ""))
 	}
-	attemptNumber := uint32(max(c.callerAttempt, n))
+	attemptNumber := uint32(max(c.parentAttempt, n))
 	if to.Name == f.Self {
 		return f.execute(ctx, watchdog, c, c.attemptID(n), c.requestBody(), attemptNumber, func() error { return nil })
 	}
--- a/node/forwarder/call.go
+++ b/node/forwarder/call.go
@@ -18,7 +18,7 @@
 type call struct {
 	match         Match
 	id            string
-	callerAttempt int
+	parentAttempt int
 	method        string
 	host          string
 	target        string
@@ -80,7 +80,7 @@
 // the route.
 func (f *Forwarder) newCall(now time.Time, r *http.Request) *call {
 	return &call{
-		id: uuid.NewString(), startedAt: now, arrived: now, callerAttempt: 1, limits: f.limits.Load(), persistent: persistent(r),
+		id: uuid.NewString(), startedAt: now, arrived: now, parentAttempt: 1, limits: f.limits.Load(), persistent: persistent(r),
 		bodyUnread: r.ProtoMajor == 1 && r.ContentLength != 0, method: r.Method, host: r.Host, length: r.ContentLength,
 	}
 }
@@ -115,7 +115,7 @@
 		c.deadline = now.Add(match.Timeout)
 	}
 	if attempt, err := strconv.Atoi(r.Header.Get(f.Contract.Attempt)); err == nil && attempt > 1 {
-		c.callerAttempt = attempt
+		c.parentAttempt = attempt
 	}
 	c.target = r.URL.RequestURI()
 	if arrived, ok := f.refusals.takeArrival(now, c); ok {
--- a/node/forwarder/failure_test.go
+++ b/node/forwarder/failure_test.go
@@ -445,10 +445,10 @@
 // run as a request of their own: net/http uses the chunks and drops the length.
 func TestSmuggledRequest(t *testing.T) {
 	is := is.New(t)
-	lengths := make(chan string, 2)
+	requests := make(chan string, 2)
 	fx := newFixture(t, false, func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
-		lengths <- r.Method + " " + r.URL.Path + " " + string(data) + " " + r.Header.Get("Content-Length")
+		requests <- r.Method + " " + r.URL.Path + " " + string(data) + " " + r.Header.Get("Content-Length")
 		_, _ = io.WriteString(w, "ok")
 	})
 	conn, reader, err := sendRaw(fx, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /evil HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -458,7 +458,7 @@
 	is.NoErr(err)
 	_, err = io.ReadAll(response.Body)
 	is.NoErr(err)
-	is.Equal(<-lengths, "POST /x  ")
+	is.Equal(<-requests, "POST /x  ")
 }
 
 // Guards against the rest of an unread body running as the next request.
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -126,7 +126,8 @@
 	metrics         metrics
 }
 
-// New returns a forwarder with defaults for all fields but the collaborators.
+// New returns a forwarder. The function fields that connect it to other
+// components have no defaults.
 func New(self string) *Forwarder {
 	f := &Forwarder{
 		Self: self, Contract: DefaultContract, Target: func() string { return "" }, Now: time.Now,
--- a/node/forwarder/refusals.go
+++ b/node/forwarder/refusals.go
@@ -9,8 +9,8 @@
 const (
 	// maxRefusedCalls bounds the refused calls that are remembered.
 	maxRefusedCalls = 4096
-	// deadlineTolerance is how much later than the deadline of the refused call
-	// that of its repetition may be, since callers round their timeouts and
+	// deadlineTolerance is how much later the deadline of a repetition may be
+	// than that of the refused call, since callers round their timeouts and
 	// their clocks differ from this node's.
 	deadlineTolerance = 100 * time.Millisecond
 )
--- a/node/forwarder/serve_http.go
+++ b/node/forwarder/serve_http.go
@@ -44,7 +44,7 @@
 	if c.key != "" {
 		c.fingerprint = c.computeFingerprint()
 	}
-	if c.callerAttempt == 1 {
+	if c.parentAttempt == 1 {
 		// A retry from further up the call chain must not add to the retry
 		// budget. Otherwise the retries at each level would raise the budgets of
 		// all levels below it.
--- a/node/forwarder/types.go
+++ b/node/forwarder/types.go
@@ -22,7 +22,7 @@
 	// Objective is the latency up to which a response has its full value; zero
 	// means none.
 	Objective time.Duration
-	// Rank is the priority of the call in the queue; 1 is the highest.
+	// Rank is the priority of the call in the queue; 1 is the most urgent.
 	Rank int
 	// Nested says that an upstream makes the call while it runs another one.
 	Nested bool
@@ -94,8 +94,8 @@
 	SameInstance bool
 	// TimeLeft is the time until the deadline; zero means that there is none.
 	TimeLeft time.Duration
-	// ParentAttempt is the attempt number in the caller's own request. It is
-	// above 1 if a node closer to the origin of the call chain is already
+	// ParentAttempt is the attempt number of the request that caused this call.
+	// It is above 1 if a node closer to the origin of the call chain is already
 	// retrying.
 	ParentAttempt int
 	Result        sycamorerun.Result
--- a/node/requester/failure.go
+++ b/node/requester/failure.go
@@ -43,7 +43,7 @@
 
 // Error implements error.
 func (f *Failure) Error() string {
-	text := "request failed (ran: " + string(f.Execution) + "): " + f.Reason
+	text := "request to the upstream failed (executed: " + string(f.Execution) + "): " + f.Reason
 	if f.Cause != nil {
 		text += ": " + f.Cause.Error()
 	}
--- a/node/requester/reusable_other.go
+++ b/node/requester/reusable_other.go
@@ -4,6 +4,6 @@
 
 import "syscall"
 
-// reusable always returns false, since the state of a connection can't be
-// found out here.
+// reusable always returns false, since the state of a connection is not available
+// on this platform.
 func reusable(syscall.RawConn) bool { return false }
