--- a/node/runner/announce.go
+++ b/node/runner/announce.go
@@ -30,7 +30,7 @@
 // one and is refused.
 func (n *node) announce(announcement manager.Announcement) error {
 	if announcement.ID == "" {
-		if current, ok := n.calls.upstream.service(); ok && current.Service != announcement.Service {
+		if current, ok := n.calls.upstream.lastAnnouncement(); ok && current.Service != announcement.Service {
 			return errors.Errorf("this node already serves %s", current.Service)
 		}
 		announcement.ID = defaultUpstreamID
@@ -47,7 +47,7 @@
 	outcome := n.calls.upstream.announcer.Announce(now, announcer.Announcement(announcement))
 	if outcome == announcer.Accepted {
 		if own, ok := n.fleet.member(n.settings.Name); ok && !own.Serving() {
-			n.publisher.markAbsent(now)
+			n.publisher.markUnavailable(now)
 		}
 	}
 	n.refreshUpstream(now)
@@ -94,10 +94,10 @@
 func (n *node) refreshUpstream(now time.Time) {
 	n.refreshMutex.Lock()
 	defer n.refreshMutex.Unlock()
-	if !n.lastRefresh.IsZero() && now.Sub(n.lastRefresh) >= absenceThreshold {
+	if !n.lastRefresh.IsZero() && now.Sub(n.lastRefresh) >= unavailableThreshold {
 		// This process was paused. Other members may have executed calls with its
 		// keys meanwhile.
-		n.publisher.markAbsent(now)
+		n.publisher.markUnavailable(now)
 	}
 	n.lastRefresh = now
 	upstream, ok := n.calls.upstream.announcer.Current()
@@ -142,8 +142,8 @@
 }
 
 // updateLimits applies the limits of the announced upstream's service and returns
-// the number of slots. If the upstream replaces one of another service, it refuses
-// the calls that wait for that upstream.
+// the number of slots. If the upstream replaces one of another service, the calls
+// that wait for the replaced upstream are refused.
 func (n *node) updateLimits(announcement manager.Announcement) int {
 	service, known := n.applier.Current().Table.Service(announcement.Service)
 	limits, replaced := n.calls.upstream.update(announcement, service, known)
--- a/node/runner/keys.go
+++ b/node/runner/keys.go
@@ -28,17 +28,17 @@
 	transferTimeout = time.Second
 )
 
-// wireKeys sets up the transfer of keys for when the local upstream starts or stops
-// serving.
+// wireKeys sets up the publisher, and the transfer of keys that it makes when the local
+// upstream starts or stops serving.
 func (n *node) wireKeys() {
 	n.keys = &deduplicator.Exchanger{
 		Records: n.calls.deduplicator,
 		Service: func() string {
-			announcement, _ := n.calls.upstream.service()
+			announcement, _ := n.calls.upstream.lastAnnouncement()
 			return announcement.Service
 		},
 		Members: func() []deduplicator.Member {
-			announcement, _ := n.calls.upstream.service()
+			announcement, _ := n.calls.upstream.lastAnnouncement()
 			self := func(member deduplicator.Member) bool { return member.Name == n.settings.Name }
 			return slices.DeleteFunc(keyMembers(n.fleet.serving(announcement.Service)), self)
 		},
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -244,7 +244,7 @@
 // keys. Before the fleet's first version there are no routes and so no calls with
 // keys. Members that join then must not make the state of any key uncertain.
 func (n *node) updateKeyMembers(now time.Time) {
-	announcement, ok := n.calls.upstream.service()
+	announcement, ok := n.calls.upstream.lastAnnouncement()
 	if ok && n.applier.Current().Tree.Version > 0 {
 		n.calls.deduplicator.SetMembers(now, keyMembers(n.fleet.serving(announcement.Service)), keyMembers(n.fleet.live()))
 	}
--- a/node/runner/operators.go
+++ b/node/runner/operators.go
@@ -91,9 +91,9 @@
 	return results, nil
 }
 
-// history returns the newest entries, newest first, up to the one with which limit
-// changes of the team are found. A node that caught up with a snapshot lacks entries. It
-// then reads them from the store with one list request, or omits them if the store is
+// history returns entries, newest first, until they contain limit changes of the team,
+// or of all teams if team is empty. A node that caught up with a snapshot lacks entries.
+// It reads these from the store with one list request, or omits them if the store is
 // unavailable.
 func (n *node) history(ctx context.Context, team string, limit int) []sycamorerun.Entry {
 	if n.document != nil {
--- a/node/runner/publisher.go
+++ b/node/runner/publisher.go
@@ -16,10 +16,10 @@
 
 func (a advertisement) serving() bool { return sycamorerun.Instance{State: a.state}.Serving() }
 
-// absenceThreshold is the minimum time after which the members may count this
-// upstream as not serving: the time since its record was published, if the record is
-// not visible, or the time for which this process was paused.
-const absenceThreshold = 2 * time.Second
+// unavailableThreshold is the minimum time after which the members may consider this
+// upstream unavailable: the time since its record was published, if the record is not
+// visible, or the time for which this process was paused.
+const unavailableThreshold = 2 * time.Second
 
 // publisher publishes the advertisement of the upstream. Before it publishes that
 // the upstream starts or stops serving, it transfers the ownership of the keys in the
@@ -34,7 +34,7 @@
 	mutex   sync.Mutex
 	desired advertisement
 	// serving is set from the start of a join to the start of a leave, unless the
-	// members stop counting the upstream as serving.
+	// members consider the upstream unavailable.
 	serving bool
 	// lastTransfer is the end of the last transfer.
 	lastTransfer time.Time
@@ -61,14 +61,14 @@
 	}
 }
 
-// markAbsent records that the members no longer count the upstream as serving, since
-// it was silent for too long. Other members may have executed calls with its keys. It
-// has no effect within absenceThreshold after a transfer, since the published record
-// may not be visible yet.
-func (p *publisher) markAbsent(now time.Time) {
+// markUnavailable records that the members consider the upstream unavailable, since it
+// was silent for too long. Other members may have executed calls with its keys. It has
+// no effect within unavailableThreshold after a transfer, since the published record may
+// not be visible yet.
+func (p *publisher) markUnavailable(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.transferDone == nil && now.Sub(p.lastTransfer) >= absenceThreshold {
+	if p.transferDone == nil && now.Sub(p.lastTransfer) >= unavailableThreshold {
 		p.serving = false
 	}
 }
--- a/node/runner/publisher_test.go
+++ b/node/runner/publisher_test.go
@@ -18,9 +18,9 @@
 	none, ready, draining := sycamorerun.StateNone, sycamorerun.StateReady, sycamorerun.StateDraining
 	cases := map[string]struct {
 		states []sycamorerun.State
-		// absence is the time since the last transfer at which the upstream is marked
-		// absent, before the last of states. Zero means that it is not.
-		absence time.Duration
+		// unavailableAfter is the time since the last transfer at which the upstream is
+		// marked as unavailable, before the last of states. Zero means that it is not.
+		unavailableAfter time.Duration
 		// during lists the states that are set during the first transfer.
 		during []sycamorerun.State
 		want   []string
@@ -29,8 +29,8 @@
 		"serves":                 {states: []sycamorerun.State{none, ready, ready}, want: []string{"none", "join", "ready", "ready"}},
 		"drains":                 {states: []sycamorerun.State{ready, draining, draining}, want: []string{"join", "ready", "leave", "draining", "draining"}},
 		"returns":                {states: []sycamorerun.State{ready, draining, ready}, want: []string{"join", "ready", "leave", "draining", "join", "ready"}},
-		"lapses":                 {states: []sycamorerun.State{ready, ready}, absence: absenceThreshold, want: []string{"join", "ready", "join", "ready"}},
-		"is not in view yet":     {states: []sycamorerun.State{ready, ready}, absence: absenceThreshold / 2, want: []string{"join", "ready", "ready"}},
+		"lapses":                 {states: []sycamorerun.State{ready, ready}, unavailableAfter: unavailableThreshold, want: []string{"join", "ready", "join", "ready"}},
+		"is not in view yet":     {states: []sycamorerun.State{ready, ready}, unavailableAfter: unavailableThreshold / 2, want: []string{"join", "ready", "ready"}},
 		"drains while it joins":  {states: []sycamorerun.State{ready}, during: []sycamorerun.State{draining}, want: []string{"join", "leave", "draining"}},
 		"repeats while it joins": {states: []sycamorerun.State{ready}, during: []sycamorerun.State{ready, ready}, want: []string{"join", "ready"}},
 	}
@@ -54,8 +54,8 @@
 				during = nil
 			}
 			for i, state := range c.states {
-				if i == len(c.states)-1 && c.absence > 0 {
-					p.markAbsent(p.lastTransfer.Add(c.absence))
+				if i == len(c.states)-1 && c.unavailableAfter > 0 {
+					p.markUnavailable(p.lastTransfer.Add(c.unavailableAfter))
 				}
 				p.setDesired(advertisement{state: state})
 				p.waitPublished()
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -22,9 +22,8 @@
 	"sycamorerun/persister"
 )
 
-// lingerDivisor is the divisor of the drain timeout that gives the time after the drain
-// delay in which new calls from callers are still served. The remaining time is for
-// calls in flight.
+// lingerDivisor determines the part of the drain timeout in which new calls from
+// callers are still served after the drain delay. The rest is for calls in flight.
 const lingerDivisor = 3
 
 const (
--- a/node/runner/upstream.go
+++ b/node/runner/upstream.go
@@ -125,9 +125,9 @@
 	u.accepting = false
 }
 
-// service returns the last announcement that was applied, and whether there has been
-// one.
-func (u *localUpstream) service() (manager.Announcement, bool) {
+// lastAnnouncement returns the last announcement that was applied, and whether there
+// has been one.
+func (u *localUpstream) lastAnnouncement() (manager.Announcement, bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.announcement, u.announcement.Service != ""
@@ -136,7 +136,7 @@
 // id returns the id of the upstream instance, or an empty string before the first
 // announcement.
 func (u *localUpstream) id() string {
-	announcement, _ := u.service()
+	announcement, _ := u.lastAnnouncement()
 	return announcement.ID
 }
 
