--- a/node/distributor/deputy.go
+++ b/node/distributor/backup.go
@@ -18,16 +18,16 @@
 	monitorPeriod = time.Second
 	// monitorTimeout bounds a probe.
 	monitorTimeout = 500 * time.Millisecond
-	// deputyGroupDelay is the additional wait of each group of deputies, so that
-	// usually only one group takes over.
-	deputyGroupDelay = 250 * time.Millisecond
-	// minTakeover is the shortest time for which a deputy watches after a
+	// backupGroupDelay is the additional wait of each group of backup watchers, so
+	// that usually only one group takes over.
+	backupGroupDelay = 250 * time.Millisecond
+	// minTakeover is the shortest time for which a backup watcher watches after a
 	// takeover.
 	minTakeover = 5 * time.Second
 )
 
-// monitorWatchers probes the planned watchers while this node is one of their
-// deputies, and takes over the watch when none of them reaches the store.
+// monitorWatchers probes the planned watchers while this node is one of the backup
+// watchers, and takes over the watch when no planned watcher reaches the store.
 func (d *Distributor) monitorWatchers(ctx context.Context) {
 	var takeoverStart time.Time
 	for sleep(ctx, time.Duration((0.75+0.5*d.Random())*float64(monitorPeriod))) {
@@ -37,9 +37,9 @@
 		case rank < 0 || !d.Ready():
 			d.setTakeover(false)
 		case d.storeHealth.consecutiveFailures() >= maxStoreFailures:
-			// A deputy that is itself cut off from the store probes it at the
-			// slower rate of waitForRole, which bounds the calls of a fleet to a
-			// store that is down. It still probes the watchers for their
+			// A backup watcher that is itself cut off from the store probes it at
+			// the slower rate of waitForRole, which bounds the calls of a fleet to
+			// a store that is down. It still probes the watchers for their
 			// versions.
 			d.setTakeover(false)
 			d.watcherReachesStore(ctx, plan.Watchers, rank)
@@ -56,8 +56,8 @@
 }
 
 // watcherReachesStore reports whether any watcher reaches the store. It probes
-// the watcher assigned to this deputy first, so that normal operation costs a
-// single probe.
+// the watcher assigned to this backup watcher first, so that normal operation
+// costs a single probe.
 func (d *Distributor) watcherReachesStore(ctx context.Context, watchers []string, rank int) bool {
 	assigned := rank % len(watchers)
 	if d.anyWatching(ctx, watchers[assigned:assigned+1]) {
@@ -69,17 +69,17 @@
 	return d.anyWatching(ctx, slices.Delete(slices.Clone(watchers), assigned, assigned+1))
 }
 
-// shouldTakeOver reports whether none of the watchers and of the deputies with a
+// shouldTakeOver reports whether no planned watcher and no backup watcher with a
 // lower rank reaches the store.
-func (d *Distributor) shouldTakeOver(ctx context.Context, watchers, earlierDeputies []string) bool {
-	if d.watcherReachesStore(ctx, watchers, len(earlierDeputies)) {
+func (d *Distributor) shouldTakeOver(ctx context.Context, watchers, earlierBackups []string) bool {
+	if d.watcherReachesStore(ctx, watchers, len(earlierBackups)) {
 		return false
 	}
-	group := 1 + len(earlierDeputies)/len(watchers)
-	if !sleep(ctx, time.Duration(group)*deputyGroupDelay) {
+	group := 1 + len(earlierBackups)/len(watchers)
+	if !sleep(ctx, time.Duration(group)*backupGroupDelay) {
 		return false
 	}
-	return !d.anyWatching(ctx, slices.Concat(watchers, earlierDeputies))
+	return !d.anyWatching(ctx, slices.Concat(watchers, earlierBackups))
 }
 
 // anyWatching probes the named peers concurrently and reports whether any of them
--- a/node/distributor/distributor.go
+++ b/node/distributor/distributor.go
@@ -106,8 +106,8 @@
 	gossipSlots   chan struct{}
 	snapshotCache snapshotCache
 	storeHealth   storeHealth
-	// takeover is set while this deputy watches the store in place of the planned
-	// watchers.
+	// takeover is set while this backup watcher watches the store in place of the
+	// planned watchers.
 	takeover atomic.Bool
 }
 
@@ -285,7 +285,7 @@
 }
 
 // errGap means that this node lacks the version on which an entry is based.
-var errGap = errors.New("versions are missing")
+var errGap = errors.New("base version is not available")
 
 // accept applies entry, whose stored encoding is data, and forwards it. An entry
 // at or below the held version is ignored. An entry with intact content that
--- a/node/distributor/distributor_test.go
+++ b/node/distributor/distributor_test.go
@@ -337,7 +337,7 @@
 }
 
 // TestRefused guards against a node that gets stuck at a version that it refuses.
-// Later versions must take force, and the refused entry must be forwarded.
+// Later versions must come into force, and the refused entry must be forwarded.
 func TestRefused(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
@@ -435,8 +435,9 @@
 	}
 }
 
-// TestDamaged guards against content that was corrupted in transit and still takes
-// force, including a changed version number, which the tree's hash does not cover.
+// TestDamaged guards against content that was corrupted in transit and still comes
+// into force, including a changed version number, which the tree's hash does not
+// cover.
 func TestDamaged(t *testing.T) {
 	store := newStore()
 	entry := store.nextEntry()
--- a/node/distributor/document_fleet_test.go
+++ b/node/distributor/document_fleet_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// watchOrder returns the planned watchers followed by their deputies.
+// watchOrder returns the planned watchers followed by the backup watchers.
 func (f *fleet) watchOrder() []string {
 	plan := planner.New("node-00", f.instances(), f.options)
 	return slices.Concat(plan.Watchers, plan.BackupWatchers)
@@ -133,7 +133,7 @@
 )
 
 // TestTakeover guards against a fleet without a working watcher, and against a
-// delayed version, after watchers or deputies fail.
+// delayed version, after planned watchers or backup watchers fail.
 func TestTakeover(t *testing.T) {
 	type failing struct {
 		fault    fault
--- a/node/distributor/entry_cache.go
+++ b/node/distributor/entry_cache.go
@@ -58,7 +58,7 @@
 }
 
 // after returns the entries above version and their total size, or false if the
-// first of them is not based on version.
+// cache is empty or the first of these entries is not based on version.
 func (c *entryCache) after(version sycamorerun.Version) (entries [][]byte, bytes int, ok bool) {
 	n := len(c.entries)
 	if n == 0 {
--- a/node/distributor/fallback.go
+++ b/node/distributor/fallback.go
@@ -61,8 +61,8 @@
 }
 
 // fallBackToStore reads new versions from the store. The watchers of a document
-// and their deputies skip the read: watchers receive all changes, and deputies
-// probe the watchers.
+// and the backup watchers skip the read: watchers receive all changes, and backup
+// watchers probe the watchers.
 func (d *Distributor) fallBackToStore(ctx context.Context) error {
 	plan := d.Plan()
 	switch {
--- a/node/distributor/pull.go
+++ b/node/distributor/pull.go
@@ -22,7 +22,7 @@
 )
 
 // errNoProgress means that a peer with a newer version sent no usable content.
-var errNoProgress = errors.New("reply contains no version newer than the held one")
+var errNoProgress = errors.New("peer reports a newer version but sent no usable content")
 
 // runPulls starts the pulls that are due until ctx is done.
 func (d *Distributor) runPulls(ctx context.Context) {
@@ -131,8 +131,9 @@
 	return d.installSnapshot(now, tree, hash, peer)
 }
 
-// acceptLogObject applies a log object from the store. It fails if the key is not
-// the one of the entry's slot, since the value was then written under a wrong key.
+// acceptLogObject applies a log object from the store. It fails if the entry
+// belongs to another slot than the key, since the value was then written under a
+// wrong key.
 func (d *Distributor) acceptLogObject(now time.Time, object persister.Object) error {
 	entry, err := persister.DecodeEntry(object.Value)
 	if err != nil {
--- a/node/distributor/serve.go
+++ b/node/distributor/serve.go
@@ -24,8 +24,8 @@
 	// their size with that of a snapshot, whose encoding would cost more than it
 	// saves.
 	smallReplyBytes = 4 << 10
-	// minBusyRetry and maxBusyRetry bound the retry delay that a busy node
-	// returns. Its jitter keeps the refused peers from retrying simultaneously.
+	// minBusyRetry and maxBusyRetry bound the retry delay in a busy reply. Its
+	// jitter keeps peers from retrying simultaneously.
 	minBusyRetry = 100 * time.Millisecond
 	maxBusyRetry = 500 * time.Millisecond
 	// replyTimeout bounds the write of a reply.
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// handleWant replies to Want. Large replies beyond the concurrency limit are
-// refused with a retry delay.
+// handleWant replies to Want. Beyond the concurrency limit, it sends a busy reply
+// with a retry delay in place of a large reply.
 func (d *Distributor) handleWant(stream net.Conn, want *Want) error {
 	reply, large := d.buildReply(sycamorerun.Version(want.GetAfter()), want.GetProbe())
 	if large {
--- a/node/distributor/watch.go
+++ b/node/distributor/watch.go
@@ -151,7 +151,8 @@
 }
 
 // acceptListing accepts the objects of a watch. It returns the revision to continue
-// from, and false if versions are missing and the log must be read.
+// from, and false if the log must be read because versions are missing or an object
+// could not be applied.
 func (d *Distributor) acceptListing(ctx context.Context, listing persister.Listing, keysOnly bool) (persister.Revision, bool) {
 	after := listing.Revision
 	var newest sycamorerun.Version
@@ -278,7 +279,8 @@
 	return revision, true, nil
 }
 
-// readSnapshot installs the stored snapshot if it is newer than the held version.
+// readSnapshot installs the stored snapshot if it is newer than the held version,
+// and reports whether it is.
 func (d *Distributor) readSnapshot(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
