--- a/node/applier/applier.go
+++ b/node/applier/applier.go
@@ -1,5 +1,5 @@
-// Package applier verifies, validates and compiles configuration versions, and
-// activates them one at a time. Each version is applied atomically.
+// Package applier verifies, validates and compiles configuration versions, and puts
+// them in force one at a time. Each version is applied atomically.
 package applier
 
 import (
@@ -20,9 +20,9 @@
 
 // Errors for errors.Is.
 var (
-	// ErrGap means that the entry is not based on the current version. The caller
+	// ErrGap means that the entry is not based on the version in force. The caller
 	// fetches the missing entries or a snapshot.
-	ErrGap = errors.New("entry is not based on the current version")
+	ErrGap = errors.New("base version is not available")
 	// ErrCorrupt means that the content does not match its hash. Another copy may
 	// be intact.
 	ErrCorrupt = errors.New("content does not match its hash")
@@ -31,12 +31,12 @@
 	ErrInvalid = errors.New("version is invalid")
 )
 
-// State is an active version. It is immutable.
+// State is a version in force. It is immutable.
 type State struct {
 	Tree  sycamorerun.Tree
 	Hash  sycamorerun.Hash
 	Table *router.Table
-	// Since is the time when the version became active on this node.
+	// Since is the time when the version came into force on this node.
 	Since time.Time
 }
 
@@ -54,18 +54,18 @@
 	Hash    sycamorerun.Hash
 	Since   time.Time
 	// Refusal is the last refusal. It is nil once the refused version or a later one
-	// is active.
+	// is in force.
 	Refusal *Refusal
 	// Refused is the number of refusals.
 	Refused int
 }
 
-// Applier holds the active tree. Set its exported fields before use.
+// Applier holds the tree in force. Set its exported fields before use.
 type Applier struct {
 	// Validate returns the faults of a whole tree. If it is nil, all trees are valid.
 	Validate func(items map[sycamorerun.Path]sycamorerun.Item) []sycamorerun.Fault
-	// Changed is called after each version becomes active, in the order of versions.
-	// It must not call Apply or Install.
+	// Changed is called after each version has come into force, in the order of
+	// versions. It must not call Apply or Install.
 	Changed func(State)
 	Logger  log.Logger
 	Scope   tally.Scope
@@ -77,7 +77,7 @@
 	refused int
 }
 
-// Current returns the active state. Before the first version, it has version zero
+// Current returns the state in force. Before the first version, it has version zero
 // and an empty routing table.
 func (a *Applier) Current() *State {
 	if state := a.state.Load(); state != nil {
@@ -91,7 +91,7 @@
 	return &State{Hash: differ.Hash(nil), Table: table}
 }()
 
-// Status returns a summary of the active state and the last refusal.
+// Status returns a summary of the state in force and the last refusal.
 func (a *Applier) Status() Status {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -102,8 +102,8 @@
 	}
 }
 
-// Apply applies an entry to the active tree. It ignores an entry whose version is
-// not newer than the current one.
+// Apply applies an entry to the tree in force. It ignores an entry whose version is
+// not newer than the version in force.
 func (a *Applier) Apply(now time.Time, entry sycamorerun.Entry) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -112,14 +112,14 @@
 	case entry.Version <= current.Tree.Version:
 		return nil
 	case entry.BaseVersion() != current.Tree.Version:
-		return errors.Wrapf(ErrGap, "apply version %s with base version %s to version %s", entry.Version, entry.BaseVersion(), current.Tree.Version)
+		return errors.Wrapf(ErrGap, "entry of version %s is based on %s, but version %s is in force", entry.Version, entry.BaseVersion(), current.Tree.Version)
 	}
 	tree := differ.Apply(current.Tree, entry.Version, entry.Difference)
 	return a.replace(now, tree, entry.Hash)
 }
 
-// Install replaces the active tree by a whole tree. It ignores a tree whose
-// version is not newer than the current one.
+// Install replaces the tree in force by a whole tree. It ignores a tree whose
+// version is not newer than the version in force.
 func (a *Applier) Install(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -129,8 +129,8 @@
 	return a.replace(now, tree.Clone(), hash)
 }
 
-// replace validates a tree and activates it. The state is stored only after all
-// checks, so an error leaves the previous version active.
+// replace validates a tree and puts it in force. The state is stored only after all
+// checks, so an error leaves the previous version in force.
 func (a *Applier) replace(now time.Time, tree sycamorerun.Tree, hash sycamorerun.Hash) error {
 	if differ.Hash(tree.Items) != hash {
 		return a.refuse(now, tree.Version, ErrCorrupt, nil)
@@ -171,7 +171,7 @@
 		a.Scope.Counter("applier_refused").Inc(1)
 	}
 	if a.Logger != nil {
-		level.Error(a.Logger).Log("msg", "configuration version refused; the current version stays active",
+		level.Error(a.Logger).Log("msg", "configuration version refused; the current version stays in force",
 			"version", version, "current", a.Current().Tree.Version, "reason", reason, "faults", len(faults))
 	}
 	return errors.Wrapf(cause, "version %s: %s", version, reason)
--- a/node/applier/applier_test.go
+++ b/node/applier/applier_test.go
@@ -97,7 +97,7 @@
 		last := sycamorerun.Version(0)
 		a := &Applier{Changed: func(state State) {
 			if state.Tree.Version <= last {
-				t.Fatalf("version %s became active after version %s", state.Tree.Version, last)
+				t.Fatalf("version %s came into force after version %s", state.Tree.Version, last)
 			}
 			last = state.Tree.Version
 		}}
@@ -144,7 +144,7 @@
 		},
 		Changed: func(state State) {
 			if state.Tree.Version <= last {
-				t.Errorf("version %s became active after version %s", state.Tree.Version, last)
+				t.Errorf("version %s came into force after version %s", state.Tree.Version, last)
 			}
 			last = state.Tree.Version
 		},
--- a/node/reporter/reporter.go
+++ b/node/reporter/reporter.go
@@ -24,7 +24,7 @@
 // Reporter tracks the routes that are not fully served. Set its exported fields
 // before use.
 type Reporter struct {
-	// Table returns the active routing table.
+	// Table returns the routing table in force.
 	Table func() *router.Table
 	// Upstreams returns the number of upstreams of a service that accept calls.
 	Upstreams func(service string) int
@@ -44,7 +44,7 @@
 // messages holds the log message for the change to each state.
 var messages = map[router.State]string{
 	router.Unserved: "routes have no upstream; their calls are not run",
-	router.Partial:  "routes have a service without an upstream; the calls drawn for it are not run",
+	router.Partial:  "routes have a service without an upstream; the calls assigned to it are not run",
 	router.Served:   "routes have upstreams again",
 }
 
--- a/node/seeder/seeder.go
+++ b/node/seeder/seeder.go
@@ -57,9 +57,10 @@
 	// IsMaintainer reports whether this node maintains the record of its
 	// availability zone.
 	IsMaintainer func() bool
-	Live         func(now time.Time) []sycamorerun.Instance
-	Now          func() time.Time
-	Logger       log.Logger
+	// Live returns the live instances, sorted by name.
+	Live   func(now time.Time) []sycamorerun.Instance
+	Now    func() time.Time
+	Logger log.Logger
 
 	// lastRevision is the revision of the record that was read last, firstSeen the
 	// time when that revision was first read.
--- a/node/seeder/seeder_test.go
+++ b/node/seeder/seeder_test.go
@@ -20,9 +20,9 @@
 	two   = netip.MustParseAddrPort("127.0.0.1:2")
 )
 
-// Guards against nodes that start together overwriting each other's records and so
-// never finding each other, against keeping a stale record forever, and against
-// comparing the clocks of two nodes.
+// TestMaintain guards against nodes that start together, overwrite each other's
+// records and so never find each other, against a stale record that is kept forever,
+// and against a comparison of the clocks of two nodes.
 func TestMaintain(t *testing.T) {
 	three, four := netip.MustParseAddrPort("127.0.0.1:3"), netip.MustParseAddrPort("127.0.0.1:4")
 	addresses := func(list ...netip.AddrPort) []netip.AddrPort { return list }
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against seeds from corrupt or oversized records, and against reading the
-// store although the settings contain peers.
+// TestSeeds guards against seeds from corrupt or oversized records, and against
+// reading the store although the settings contain peers.
 func TestSeeds(t *testing.T) {
 	is := is.New(t)
 	lists := 0
