--- a/node/tracker/distance_test.go
+++ b/node/tracker/distance_test.go
@@ -8,8 +8,8 @@
 	"sycamorerun"
 )
 
-// Guards against a distance that is lost on the way to other members, is
-// flooded although it has not changed, or is out of range.
+// TestSetDistance guards against a distance that is lost on the way to other
+// members, is flooded although it has not changed, or is out of range.
 func TestSetDistance(t *testing.T) {
 	is := is.New(t)
 	table := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
--- a/node/tracker/property_test.go
+++ b/node/tracker/property_test.go
@@ -365,8 +365,8 @@
 const interleavingTime = 2 * time.Second
 
 // TestVersionsAndRecords guards, over random interleavings of versions and
-// records with loss, duplication and reordering, against a version that goes
-// back or is applied in part, a route to a missing service, a call that is sent
+// records with loss, duplication and reordering, against a version that
+// decreases or is applied in part, a route to a missing service, a call that is sent
 // to an instance of another service, and nodes that never converge. A failure
 // prints its seed; -rapid.seed repeats it.
 func TestVersionsAndRecords(t *testing.T) {
--- a/node/tracker/table.go
+++ b/node/tracker/table.go
@@ -114,8 +114,9 @@
 	same := in.Sequence == old.Sequence && in.Incarnation == old.Incarnation
 	switch {
 	case newer && old.health == failed && in.health == suspect:
-		// The node failed here and elsewhere; the age of the received record
-		// decides.
+		// The node has failed here and is suspected elsewhere. The suspicion keeps
+		// its received age, so that an old one makes the node fail again at the
+		// next tick.
 	case newer:
 		// A node that is live here gets the full time to refute, however long
 		// ago the other side of a healed partition suspected it.
--- a/node/tracker/table_test.go
+++ b/node/tracker/table_test.go
@@ -33,8 +33,8 @@
 func setSuspect(r *record) { r.health = suspect }
 func setLeft(r *record)    { r.State = sycamorerun.StateLeft }
 
-// Guards against old, duplicate and reordered records that override newer ones,
-// and against refutations that have no effect.
+// TestMerge guards against old, duplicate and reordered records that override
+// newer ones, and against refutations that have no effect.
 func TestMerge(t *testing.T) {
 	type step struct {
 		at      float64
@@ -86,8 +86,8 @@
 	}
 }
 
-// Guards against records of failed and left nodes that stay in memory or in the
-// digest.
+// TestRetention guards against records of failed and left nodes that stay in
+// memory or in the digest.
 func TestRetention(t *testing.T) {
 	for name, change := range map[string]func(*record){"failed": setSuspect, "left": setLeft} {
 		t.Run(name, func(t *testing.T) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Guards against a live node that stays failed in other tables, or is
-// superseded there by records of an earlier run.
+// TestRefute guards against a live node that stays failed in other tables, or
+// is superseded there by records of an earlier run.
 func TestRefute(t *testing.T) {
 	own := func(count int64, boot uint32, sequence uint64, change func(*record)) *record {
 		r := peerRecord(1, sequence, change)
@@ -145,8 +145,8 @@
 	}
 }
 
-// Guards against a node that resumes after a pause and declares nodes failed
-// whose refutations it has not read yet.
+// TestResume guards against a node that resumes after a pause and declares
+// nodes failed whose refutations it has not read yet.
 func TestResume(t *testing.T) {
 	is := is.New(t)
 	table := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
@@ -159,8 +159,8 @@
 	is.Equal(len(table.live()), 1)
 }
 
-// Guards against an upstream that stays in use after its announcements have
-// stopped.
+// TestAnnouncementTimeout guards against an upstream that stays in use after
+// its announcements have stopped.
 func TestAnnouncementTimeout(t *testing.T) {
 	is := is.New(t)
 	table := newTable(start, instance(0, "a1"), defaultTiming.suspicionTimeout)
@@ -212,7 +212,8 @@
 	return sentBytes
 }
 
-// Guards against tables that still differ after a partition has healed.
+// TestExchange guards against tables that still differ after a partition has
+// healed.
 func TestExchange(t *testing.T) {
 	cases := map[string]func(a, b *table){
 		"equal":            func(_, _ *table) {},
@@ -242,8 +243,9 @@
 	}
 }
 
-// Guards against a partition in which every member of a zone is suspected and
-// has to refute, and against single failures that are taken for a partition.
+// TestRecordProbes guards against a partition in which every member of a zone
+// is suspected and has to refute, and against single failures that are taken
+// for a partition.
 func TestRecordProbes(t *testing.T) {
 	names := []string{"node-0006", "node-0011", "node-0016", "node-0021"}
 	cases := map[string]struct {
@@ -273,8 +275,8 @@
 	}
 }
 
-// Guards against plans and lists with zones that no other zone can reach, and
-// against zones that stay excluded after the partition has healed.
+// TestZones guards against plans and lists with zones that no other zone can
+// reach, and against zones that stay excluded after the partition has healed.
 func TestZones(t *testing.T) {
 	is := is.New(t)
 	table := filledTable(30, 3)
@@ -306,8 +308,8 @@
 	is.Equal(count()[0], 1)
 }
 
-// Guards against records that exhaust the memory, can't be refuted or are
-// invalid.
+// TestInvalidRecords guards against records that exhaust the memory, can't be
+// refuted or are invalid.
 func TestInvalidRecords(t *testing.T) {
 	long := strings.Repeat("x", maxNameBytes+1)
 	cases := map[string]func(r *Record){
@@ -340,7 +342,7 @@
 	}
 }
 
-// Guards against frames that crash the tracker or corrupt the digest.
+// FuzzFrame guards against frames that crash the tracker or corrupt the digest.
 func FuzzFrame(f *testing.F) {
 	source := filledTable(3, 1)
 	source.markSuspect(start, "node-0002")
@@ -373,7 +375,8 @@
 	})
 }
 
-// Guards against a patched list that differs from a rebuilt one.
+// TestLiveIsPatched guards against a patched list that differs from a rebuilt
+// one.
 func TestLiveIsPatched(t *testing.T) {
 	is := is.New(t)
 	table := filledTable(300, 3)
--- a/node/tracker/timing.go
+++ b/node/tracker/timing.go
@@ -13,13 +13,13 @@
 	linkTimeout time.Duration
 	// suspicionTimeout is the time in which a suspect can refute the suspicion.
 	suspicionTimeout time.Duration
-	// pauseThreshold is the gap between two ticks from which this process
-	// counts as paused. Missing heartbeats during a pause say nothing about the
+	// pauseThreshold is the shortest gap between two ticks for which this
+	// process counts as paused. Missing heartbeats during a pause say nothing about the
 	// peers.
 	pauseThreshold time.Duration
-	// dialGrace is how long the accepting node waits for the other node to dial
-	// before it dials itself. The two nodes may have different plans for a
-	// while.
+	// dialGrace is how long a node that expects to be dialled by a planned peer
+	// waits before it dials the peer. The two nodes may have different plans
+	// for a while.
 	dialGrace time.Duration
 	// maxRetryDelay bounds the random delay between attempts to open a link to
 	// a peer. The dials themselves back off in the connector.
--- a/node/tracker/tracker.go
+++ b/node/tracker/tracker.go
@@ -20,13 +20,14 @@
 
 const (
 	// planDelay is the minimum time for which changes are collected before the
-	// plan is computed again. The time is planDelayFactor times the duration of
-	// the last update if that is longer, so that many changes in a large fleet
-	// use at most a few percent of a core.
+	// plan is computed again. If planDelayFactor times the duration of the last
+	// update is longer, changes are collected for that time, so that many changes
+	// in a large fleet use at most a few percent of a core. The duration counts
+	// as at most planDelay.
 	planDelay       = 50 * time.Millisecond
 	planDelayFactor = 30
-	// maxLinks is the number of open links from which links opened by peers are
-	// rejected.
+	// maxLinks is the number of open links at which further links opened by peers
+	// are rejected.
 	maxLinks = 256
 )
 
--- a/node/tracker/tracker_test.go
+++ b/node/tracker/tracker_test.go
@@ -180,8 +180,8 @@
 	return sycamorerun.Instance{}
 }
 
-// Guards against members that a joining node or the other nodes don't learn,
-// and against nodes that stay in the list after leaving.
+// TestJoinAndLeave guards against members that a joining node or the other
+// nodes don't learn, and against nodes that stay in the list after leaving.
 func TestJoinAndLeave(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -201,8 +201,9 @@
 	})
 }
 
-// Guards against crashed nodes that stay in the list, and restarted nodes that
-// are missing from it, also after a restart of most of the fleet.
+// TestCrashAndRestart guards against crashed nodes that stay in the list, and
+// restarted nodes that are missing from it, also after a restart of most of the
+// fleet.
 func TestCrashAndRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		zones        []string
@@ -241,9 +242,10 @@
 	}
 }
 
-// Guards against nodes that start at the same time, find only some of each
-// other and stay in two groups, since a node with a link contacts no seeds.
-// Here the seeds of both groups become known only after the groups have formed.
+// TestGroupsMerge guards against nodes that start at the same time, find only
+// some of each other and stay in two groups, since a node with a link contacts
+// no seeds. Here the seeds of both groups become known only after the groups
+// have formed.
 func TestGroupsMerge(t *testing.T) {
 	t.Parallel()
 	f := newFabric(t)
@@ -271,8 +273,8 @@
 	f.waitAll("each node lists both groups", trackers, func(t *Tracker) bool { return count(t) == nodes })
 }
 
-// Guards against members of a partitioned availability zone that stay in the
-// plan, or that have to refute when the partition heals.
+// TestPartitionHeals guards against members of a partitioned availability zone
+// that stay in the plan, or that have to refute when the partition heals.
 func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -303,8 +305,8 @@
 	is.True(changed < len(trackers)/2)
 }
 
-// Guards against a node that was paused or partitioned, counts as failed, and
-// stays failed when it is reachable again.
+// TestLostNodeReturns guards against a node that was paused or partitioned,
+// counts as failed, and stays failed when it is reachable again.
 func TestLostNodeReturns(t *testing.T) {
 	t.Parallel()
 	f := newFabric(t)
@@ -320,8 +322,9 @@
 	})
 }
 
-// Guards against heartbeats that each cause a separate TCP acknowledgement: the
-// accepting node sends its heartbeats only as immediate replies.
+// TestAcceptedLinkAnswers guards against heartbeats that each cause a separate
+// TCP acknowledgement: the accepting node sends its heartbeats only as
+// immediate replies.
 func TestAcceptedLinkAnswers(t *testing.T) {
 	is := is.New(t)
 	f := newFabric(t)
