--- a/node/connector/conn.go
+++ b/node/connector/conn.go
@@ -68,7 +68,7 @@
 }
 
 // Sizes for coalescing yamux frames. A frame header holds the version, the
-// type, two bytes of flags, four of the stream ID and four of the length.
+// type, two bytes of flags, four of the stream id and four of the length.
 const (
 	frameHeaderBytes = 12
 	// maxCoalescedBytes is the longest body that is copied into the buffer of the
--- a/node/connector/connector_test.go
+++ b/node/connector/connector_test.go
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// Guards against opening a second session when the first one can carry streams in
-// both directions.
+// TestOpenSharesOneSession guards against opening a second session when the first
+// one can carry streams in both directions.
 func TestOpenSharesOneSession(t *testing.T) {
 	is := is.New(t)
 	a, _ := start(t, "a", nil, nil)
--- a/node/connector/decision_test.go
+++ b/node/connector/decision_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Guards against closing a session that has streams, keeping a stalled session,
-// and closing an idle session before the peer has been notified.
+// TestNextAction guards against closing a session that has streams, keeping a
+// stalled session, and closing an idle session before the peer has been notified.
 func TestNextAction(t *testing.T) {
 	limits := Limits{}.withDefaults()
 	cases := map[string]struct {
@@ -40,8 +40,9 @@
 	}
 }
 
-// Guards against the two ends preferring different sessions after simultaneous
-// dials, and against a dead session being preferred to its replacement.
+// TestPreferOlder guards against the two ends preferring different sessions after
+// simultaneous dials, and against a dead session being preferred to its
+// replacement.
 func TestPreferOlder(t *testing.T) {
 	at := func(name string, dialled bool, seconds float64) *session {
 		return &session{peer: Peer{Name: name}, dialled: dialled, opened: time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))}
@@ -67,9 +68,9 @@
 	}
 }
 
-// Guards against keeping a dead session with a waiting call, and against closing a
-// session although the peer is slow or paused, this process was paused, or sent
-// data is still in transit.
+// TestNextProbe guards against keeping a dead session with a waiting call, and
+// against closing a session although the peer is slow or paused, this process was
+// paused, or sent data is still in transit.
 func TestNextProbe(t *testing.T) {
 	const never = time.Hour
 	limits, start := Limits{}.withDefaults(), time.Unix(1000, 0)
@@ -132,7 +133,8 @@
 	}
 }
 
-// Guards against dial delays that exceed the maximum, overflow or lack jitter.
+// TestBackoff guards against dial delays that exceed the maximum, overflow or lack
+// jitter.
 func TestBackoff(t *testing.T) {
 	is := is.New(t)
 	maxJitter := func(n int64) int64 { return n - 1 }
@@ -144,8 +146,8 @@
 	is.Equal(backoff(3, func(int64) int64 { return 0 }), time.Duration(0))
 }
 
-// Guards against a separate dial for each waiting caller, and against dials
-// without a delay to an unreachable peer.
+// TestDialsAreShared guards against a separate dial for each waiting caller, and
+// against dials without a delay to an unreachable peer.
 func TestDialsAreShared(t *testing.T) {
 	is := is.New(t)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
@@ -187,8 +189,8 @@
 	}
 }
 
-// Guards against hellos that pass validation but don't survive a round trip
-// through Peer.
+// FuzzHello guards against hellos that pass validation but don't survive a round
+// trip through Peer.
 func FuzzHello(f *testing.F) {
 	valid, _ := proto.Marshal(Peer{
 		Name: "a", Boot: 1, Address: netip.MustParseAddrPort("[::1]:1"), AvailabilityZone: "z", Region: "r",
@@ -211,8 +213,8 @@
 	})
 }
 
-// Guards against truncated or reordered frames when a header is held back until
-// its body is written.
+// TestFrameCoalescer guards against truncated or reordered frames when a header is
+// held back until its body is written.
 func TestFrameCoalescer(t *testing.T) {
 	header := func(kind, length byte) string { return string([]byte{0, kind, 0, 0, 0, 0, 0, 1, 0, 0, 0, length}) }
 	long, full := strings.Repeat("l", maxCoalescedBytes+1), strings.Repeat("f", maxRecordBytes-frameHeaderBytes)
@@ -261,8 +263,8 @@
 
 func (s *shrinkCounter) Shrink() { s.calls++ }
 
-// Guards against idle streams that keep the receive buffer of a large call
-// because the wrapper hides yamux's Shrink method.
+// TestStreamShrinks guards against idle streams that keep the receive buffer of a
+// large call because the wrapper hides yamux's Shrink method.
 func TestStreamShrinks(t *testing.T) {
 	is := is.New(t)
 	inner := &shrinkCounter{}
--- a/node/connector/failure_test.go
+++ b/node/connector/failure_test.go
@@ -25,8 +25,8 @@
 	c.Limits = connector.Limits{Ping: 100 * time.Millisecond, Stall: time.Second, Linger: 200 * time.Millisecond}
 }
 
-// Guards against keeping two sessions, or losing both, when both ends dial at the
-// same time.
+// TestBothEndsDialAtOnce guards against keeping two sessions, or losing both, when
+// both ends dial at the same time.
 func TestBothEndsDialAtOnce(t *testing.T) {
 	t.Parallel()
 	a, _ := start(t, "a", nil, shortLimits)
@@ -115,7 +115,8 @@
 // freeze makes the open connections drop all data from now on.
 func (p *proxy) freeze() { p.frozen.Store(p.conns.Load()) }
 
-// Guards against new streams waiting on a session that went silent.
+// TestFrozenSessionIsReplaced guards against new streams waiting on a session that
+// went silent.
 func TestFrozenSessionIsReplaced(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -130,10 +131,10 @@
 	is.True(p.conns.Load() > p.frozen.Load())
 }
 
-// Guards against a call waiting for seconds on a session that went silent while
-// new sessions work, and against disconnecting a paused peer. It runs with the
-// production timeouts, except those that close a session without a waiting call;
-// TestNextProbe checks the exact times.
+// TestCallOnSilentSession guards against a call waiting for seconds on a session
+// that went silent while new sessions work, and against disconnecting a paused
+// peer. It runs with the production timeouts, except those that close a session
+// without a waiting call; TestNextProbe checks the exact times.
 func TestCallOnSilentSession(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
@@ -170,8 +171,8 @@
 	}
 }
 
-// Guards against a write on a closed session failing with an error that leaves open
-// whether the peer received data.
+// TestWriteToClosedSession guards against a write on a closed session failing with
+// an error that leaves open whether the peer received data.
 func TestWriteToClosedSession(t *testing.T) {
 	is := is.New(t)
 	b, stop := start(t, "b", nil, func(c *connector.Connector) { c.Limits.Drain = time.Millisecond })
@@ -197,8 +198,8 @@
 	return err
 }
 
-// Guards against invalid input that stops the connector, keeps a session open or
-// reaches a handler.
+// TestGarbage guards against invalid input that stops the connector, keeps a
+// session open or reaches a handler.
 func TestGarbage(t *testing.T) {
 	t.Parallel()
 	cluster := newAuthority(t)
@@ -248,8 +249,8 @@
 	}
 }
 
-// Guards against streams with an invalid head that reach a handler or close the
-// session of other streams.
+// TestBadStreamHeads guards against streams with an invalid head that reach a
+// handler or close the session of other streams.
 func TestBadStreamHeads(t *testing.T) {
 	is := is.New(t)
 	a, _ := start(t, "a", nil, shortLimits)
@@ -266,7 +267,7 @@
 	is.Equal(b.Sessions(), 1)
 }
 
-// Guards against peers exceeding the limits for sessions and streams.
+// TestLimits guards against peers exceeding the limits for sessions and streams.
 func TestLimits(t *testing.T) {
 	is := is.New(t)
 	a, _ := start(t, "a", nil, func(c *connector.Connector) {
@@ -287,9 +288,9 @@
 	eventually(t, "the slot of the closed stream is free again", func() bool { return echo(b, a.Self.Address) == nil })
 }
 
-// Guards against peers rejecting a restarted node, whether its boot ID is higher or
-// lower, and against an older run that was paused and resumed locking out the
-// current run.
+// TestRuns guards against peers rejecting a restarted node, whether its boot id is
+// higher or lower, and against an older run that was paused and resumed locking out
+// the current run.
 func TestRuns(t *testing.T) {
 	is := is.New(t)
 	a, _ := start(t, "a", nil, shortLimits)
@@ -332,8 +333,8 @@
 	is.True(echo(self, a.Self.Address) != nil)
 }
 
-// Guards against a shutdown that interrupts a stream in flight or accepts new
-// streams.
+// TestShutdownFinishesStreams guards against a shutdown that interrupts a stream in
+// flight or accepts new streams.
 func TestShutdownFinishesStreams(t *testing.T) {
 	is := is.New(t)
 	a, _ := start(t, "a", nil, nil)
@@ -363,8 +364,9 @@
 	}
 }
 
-// Guards against counting bytes for the wrong scope or kind, and against headers
-// that are not counted, counted twice or lost when the connection closes.
+// TestCounters guards against counting bytes for the wrong scope or kind, and
+// against headers that are not counted, counted twice or lost when the connection
+// closes.
 func TestCounters(t *testing.T) {
 	is := is.New(t)
 	scope := tally.NewTestScope("", nil)
--- a/node/connector/peer.go
+++ b/node/connector/peer.go
@@ -15,7 +15,7 @@
 // Peer identifies one run of a node process.
 type Peer struct {
 	Name string
-	// Boot is a random ID that a node process chooses at start.
+	// Boot is a random id that a node process chooses at start.
 	Boot             int64
 	Address          netip.AddrPort
 	AvailabilityZone string
@@ -76,7 +76,7 @@
 		return Peer{}, errors.Wrap(err, "parse address in hello")
 	}
 	if hello.GetBoot() <= 0 {
-		return Peer{}, errors.New("hello has no boot ID")
+		return Peer{}, errors.New("hello has no boot id")
 	}
 	return Peer{
 		Name:             hello.GetName(),
--- a/node/connector/registry.go
+++ b/node/connector/registry.go
@@ -8,11 +8,11 @@
 	"github.com/go-kit/log/level"
 )
 
-// preferOlder reports whether the older one of two live sessions to the same run
-// of a peer takes the new streams. If both ends dialled at about the same time, both have to choose
-// the same session: the one dialled by the node with the lower name. A later dial
-// by the other end means that it found the older session dead, so the newer
-// session is preferred. A session can't be found dead within window, which
+// preferOlder reports whether the older of two live sessions to the same run of a
+// peer takes the new streams. If both ends dialled at about the same time, both have
+// to choose the same session: the one dialled by the node with the lower name. A
+// later dial by the other end means that it found the older session dead, so the
+// newer session is preferred. A session can't be found dead within window, which
 // therefore separates the two cases. If the ends disagree, a second session only
 // stays open for longer.
 func preferOlder(older, newer *session, self string, window time.Duration) bool {
--- a/node/connector/tls_test.go
+++ b/node/connector/tls_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against accepting a peer, in either direction, without a valid
-// certificate of the cluster.
+// TestCertificates guards against accepting a peer, in either direction, without
+// a valid certificate of the cluster.
 func TestCertificates(t *testing.T) {
 	cluster, other := newAuthority(t), newAuthority(t)
 	noCertificate := cluster.config(time.Hour)
--- a/node/connector/tracker_test.go
+++ b/node/connector/tracker_test.go
@@ -50,8 +50,9 @@
 	return members, peers
 }
 
-// Guards against declaring a peer failed because its session went silent while new
-// sessions work. It runs with the production intervals.
+// TestFrozenSessionIsNoFailure guards against declaring a peer failed because its
+// session went silent while new sessions work. It runs with the production
+// intervals.
 func TestFrozenSessionIsNoFailure(t *testing.T) {
 	t.Parallel()
 	var heartbeats [2]atomic.Int64
