--- a/node/announcer/announcer.go
+++ b/node/announcer/announcer.go
@@ -123,7 +123,8 @@
 }
 
 // supersedes reports whether an announcement of another boot or another id
-// replaces the current upstream.
+// replaces the current upstream. It records a boot that is leaving in the
+// history, so that its late announcements are ignored.
 func (a *Announcer) supersedes(now time.Time, in Announcement) bool {
 	later := in.Boot > a.current.Boot && a.current.ID != ""
 	switch {
@@ -255,8 +256,8 @@
 	}
 }
 
-// Expire makes an upstream unavailable that stopped announcing itself, and ends
-// a warm-up.
+// Expire makes an upstream unavailable that has stopped announcing itself, and
+// ends a warm-up whose time is over.
 func (a *Announcer) Expire(now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/node/announcer/announcer_test.go
+++ b/node/announcer/announcer_test.go
@@ -15,8 +15,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// step is one event at a time in milliseconds. Without an event name it is an
-// announcement.
+// step is an event at the time at, in milliseconds. Without an event name it is
+// an announcement.
 type step struct {
 	at    int64
 	event string
@@ -44,8 +44,8 @@
 	return in
 }
 
-// Guards against calls to an upstream that has left, crashed or was replaced,
-// and against a serving upstream that is not used.
+// TestAnnounce guards against calls to an upstream that has left, crashed or
+// was replaced, and against a serving upstream that is not used.
 func TestAnnounce(t *testing.T) {
 	const draining, left = sycamorerun.StateDraining, sycamorerun.StateLeft
 	other := func(a *Announcement) { a.Service, a.Address = "t", netip.MustParseAddrPort("127.0.0.1:2") }
@@ -190,8 +190,8 @@
 	}
 }
 
-// Guards against a history that grows with each restart, or that loses the last
-// boots.
+// TestHistoryIsBounded guards against a history that grows with each restart,
+// or that loses the last boots.
 func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	a := New(func() time.Duration { return period })
--- a/node/authenticator/authenticator_test.go
+++ b/node/authenticator/authenticator_test.go
@@ -18,8 +18,8 @@
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// Guards against a token that grants access to another team's subtree, or that
-// is still accepted after its removal.
+// TestIdentify guards against a token that grants access to another team's
+// subtree, or that is still accepted after its removal.
 func TestIdentify(t *testing.T) {
 	team, err := json.Marshal(sycamorerun.Team{
 		Mode:      sycamorerun.ModeFlow,
@@ -63,7 +63,8 @@
 	}
 }
 
-// Guards against an empty administrator hash that admits the empty token.
+// TestNoAdministrator guards against an empty administrator hash that admits
+// the empty token.
 func TestNoAdministrator(t *testing.T) {
 	is := is.New(t)
 	a, err := authenticator.New("")
