--- a/node/acceptor/commit.go
+++ b/node/acceptor/commit.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// collectBatch returns first and the changes queued after it. It drops the
-// changes whose context has ended.
+// collectBatch returns first, unless it is nil, and the changes queued after it.
+// It drops the changes whose context has ended.
 func (a *Acceptor) collectBatch(first *submission) []*submission {
 	var batch []*submission
 	for s := first; len(batch) < MaxBatch; {
--- a/node/acceptor/commit_test.go
+++ b/node/acceptor/commit_test.go
@@ -14,8 +14,8 @@
 	"sycamorerun/persister"
 )
 
-// Guards against a change that is lost, accepted twice or reported wrongly
-// when the store fails at any step of a commit.
+// TestCommitFaults guards against a change that is lost, accepted twice or reported
+// wrongly when the store fails at any step of a commit.
 func TestCommitFaults(t *testing.T) {
 	const forever = 1 << 30
 	cases := map[string]struct {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against reporting a final outcome when the response to a write is lost and
-// all reads after it fail.
+// TestUnknownThenFound guards against reporting a final outcome when the response to
+// a write is lost and all reads after it fail.
 func TestUnknownThenFound(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -91,8 +91,8 @@
 	is.Equal(firstFaultCode(a.Lookup(t.Context(), "never")), "no-such-change")
 }
 
-// Guards against a change that is lost or reported as refused when the store
-// responds after the submitter's context has ended.
+// TestSlowStore guards against a change that is lost or reported as refused when the
+// store responds after the submitter's context has ended.
 func TestSlowStore(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -107,8 +107,9 @@
 	is.Equal(a.Lookup(t.Context(), "one").Version, sycamorerun.Version(2))
 }
 
-// Guards against stale reads of a slot. They must not make an acceptor stop for
-// good, overwrite a newer entry or flood the store with attempts that can't succeed.
+// TestStaleReads guards against stale reads of a slot. They must not make an acceptor
+// stop for good, overwrite a newer entry or flood the store with attempts that can't
+// succeed.
 func TestStaleReads(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -124,8 +125,8 @@
 	verifyLog(t, f, 3)
 }
 
-// Guards against refusing a change because of a stale read when another acceptor has
-// accepted it since.
+// TestStaleRefusal guards against refusing a change because of a stale read when
+// another acceptor has accepted it since.
 func TestStaleRefusal(t *testing.T) {
 	for name, versions := range map[string]int{"first round": 0, "later": persister.RingSlots} {
 		t.Run(name, func(t *testing.T) {
@@ -165,8 +166,8 @@
 	}
 }
 
-// Guards against concurrent acceptors that commit the same version twice, lose a
-// change or accept an id twice.
+// TestRacingAcceptors guards against concurrent acceptors that commit the same
+// version twice, lose a change or accept an id twice.
 func TestRacingAcceptors(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -201,8 +202,9 @@
 	}
 }
 
-// Guards against an acceptor that is paused before its write, resumes after the ring
-// has wrapped around, and overwrites a newer entry or commits a change twice.
+// TestPausedAcceptor guards against an acceptor that is paused before its write,
+// resumes after the ring has wrapped around, and overwrites a newer entry or commits
+// a change twice.
 func TestPausedAcceptor(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -239,8 +241,8 @@
 	is.True(f.calls["get"]-before < 10)
 }
 
-// Guards against overwriting ring slots that no snapshot covers yet, when acceptors
-// stop between the commit and the snapshot.
+// TestSnapshotCoversRing guards against overwriting ring slots that no snapshot
+// covers yet, when acceptors stop between the commit and the snapshot.
 func TestSnapshotCoversRing(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -262,7 +264,8 @@
 	is.Equal(tree.Version, sycamorerun.Version(persister.RingSlots))
 }
 
-// Guards against starting a second history in a store that lost its objects.
+// TestLostStore guards against starting a second history in a store that lost its
+// objects.
 func TestLostStore(t *testing.T) {
 	for name, version := range map[string]sycamorerun.Version{"first round": 2, "later": persister.RingSlots + 2} {
 		t.Run(name, func(t *testing.T) {
@@ -281,7 +284,8 @@
 	}
 }
 
-// Guards against a lagging node that reads the missing entries one by one.
+// TestLaggingAcceptor guards against a lagging node that reads the missing entries
+// one by one.
 func TestLaggingAcceptor(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -296,8 +300,8 @@
 	is.Equal(f.calls["list"], 1)
 }
 
-// Guards against submitters that block forever when the acceptor stops, and against
-// committing a queued change whose submitter's context has ended.
+// TestStop guards against submitters that block forever when the acceptor stops, and
+// against committing a queued change whose submitter's context has ended.
 func TestStop(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -316,7 +320,7 @@
 	is.Equal((<-result).Status, sycamorerun.StatusUnknown)
 }
 
-// Guards against an entry that contains the same id twice.
+// TestSameIDInBatch guards against an entry that contains the same id twice.
 func TestSameIDInBatch(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -326,8 +330,8 @@
 	verifyLog(t, f, 1)
 }
 
-// Guards against a batch that fails as a whole because it does not fit one entry, and
-// against accepting a change that can never be stored.
+// TestLargeBatch guards against a batch that fails as a whole because it does not fit
+// one entry, and against accepting a change that can never be stored.
 func TestLargeBatch(t *testing.T) {
 	noise := func(n int) []byte {
 		data := make([]byte, n)
--- a/node/acceptor/decide.go
+++ b/node/acceptor/decide.go
@@ -186,8 +186,8 @@
 	return before
 }
 
-// withHold returns items with the hold of before, since only the kinds Place and
-// Release may change a hold.
+// withHold returns items with the hold of before, since only the kinds PlaceHold
+// and ReleaseHold may change a hold.
 func withHold(items, before map[sycamorerun.Path]sycamorerun.Item, path sycamorerun.Path) map[sycamorerun.Path]sycamorerun.Item {
 	after := maps.Clone(items)
 	if after == nil {
--- a/node/acceptor/decide_test.go
+++ b/node/acceptor/decide_test.go
@@ -12,8 +12,8 @@
 	"sycamorerun/differ"
 )
 
-// Guards against a change that takes effect although a rule forbids it, and against
-// a refusal without the right fault code.
+// TestDecide guards against a change that takes effect although a rule forbids it,
+// and against a refusal without the right fault code.
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
 	held := func(until time.Time) map[sycamorerun.Path]sycamorerun.Item {
@@ -133,8 +133,8 @@
 	}
 }
 
-// Guards against a settings file that removes the team's hold, which is not part of
-// the file.
+// TestApplyKeepsHold guards against a settings file that removes the team's hold,
+// which is not part of the file.
 func TestApplyKeepsHold(t *testing.T) {
 	is := is.New(t)
 	before := sycamorerun.Tree{Items: map[sycamorerun.Path]sycamorerun.Item{"flow/hold": item(1), "flow/service/gone": item(2)}}
--- a/node/acceptor/externally_managed_test.go
+++ b/node/acceptor/externally_managed_test.go
@@ -8,8 +8,8 @@
 	"sycamorerun"
 )
 
-// Guards against accepting changes while operators manage the configuration as one
-// document, and against using a log beside that document.
+// TestExternallyManaged guards against accepting changes while operators manage
+// the configuration as one document, and against using a log beside that document.
 func TestExternallyManaged(t *testing.T) {
 	is := is.New(t)
 	a := New(newFake().store())
--- a/node/acceptor/review_test.go
+++ b/node/acceptor/review_test.go
@@ -19,8 +19,9 @@
 	}
 }
 
-// Guards against a proposal that is decided twice, that reappears after a
-// crash between the commit and its removal, or whose id can't be looked up.
+// TestReview guards against a proposal that is decided twice, that reappears
+// after a crash between the commit and its removal, or whose id can't be looked
+// up.
 func TestReview(t *testing.T) {
 	cases := map[string]struct {
 		kind   sycamorerun.ChangeKind
@@ -63,7 +64,8 @@
 	}
 }
 
-// Guards against proposals that accumulate in the store without limit.
+// TestProposalLimits guards against proposals that accumulate in the store
+// without limit.
 func TestProposalLimits(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -83,8 +85,9 @@
 	is.Equal(len(pending), 1)
 }
 
-// Guards against a revert that restores the wrong content, both from the archive
-// and from the log alone, and against a revert that needs thousands of reads.
+// TestRevert guards against a revert that restores the wrong content, both from
+// the archive and from the log alone, and against a revert that needs thousands
+// of reads.
 func TestRevert(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
--- a/node/deduplicator/deduplicator_test.go
+++ b/node/deduplicator/deduplicator_test.go
@@ -28,8 +28,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// Guards against a call that runs although Refuse reported that it does not run, and
-// against a second run of a call that has started.
+// TestCalls guards against a call that runs although Refuse reported that it does not
+// run, and against a second run of a call that has started.
 func TestCalls(t *testing.T) {
 	cases := map[string]struct {
 		prepare func(d *Deduplicator)
@@ -79,8 +79,8 @@
 	}
 }
 
-// Guards against records that grow without bound, and against the loss of the record
-// of a running call when many other calls follow.
+// TestBounds guards against records that grow without bound, and against the loss of
+// the record of a running call when many other calls follow.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	d := newClean(smallLimits)
@@ -101,8 +101,8 @@
 	is.Equal(d.Begin(at(time.Hour), "2", Key{Name: "long"}).Verdict, sycamorerun.VerdictUncertain)
 }
 
-// Guards against a second run of a request with the same key, in each state of the key
-// and after its record has been shortened or dropped.
+// TestKeys guards against a second run of a request with the same key, in each state
+// of the key and after its response or its whole record has been dropped.
 func TestKeys(t *testing.T) {
 	key := Key{Name: "k", Fingerprint: 1}
 	run := func(d *Deduplicator, result Result) {
@@ -152,8 +152,9 @@
 	}
 }
 
-// Guards against a second run of a request at another node after a membership change,
-// and against needless refusals of keys whose owner did not change.
+// TestMemberChange guards against a second run of a request at another node after a
+// membership change, and against needless refusals of keys whose owner did not
+// change.
 func TestMemberChange(t *testing.T) {
 	is := is.New(t)
 	d := newClean(smallLimits)
@@ -181,8 +182,9 @@
 	is.Equal(flapping.Begin(at(time.Minute), "1", Key{Name: own}).Reason, ReasonMoved)
 }
 
-// Guards against a restarted member that makes every key uncertain for KeyTTL. It
-// requests its keys before it is announced, and must not count as gone until then.
+// TestReconcileBeforeAnnouncement guards against a restarted member that makes every
+// key uncertain for KeyTTL. It requests its keys before it is announced, and must not
+// count as gone until then.
 func TestReconcileBeforeAnnouncement(t *testing.T) {
 	cases := map[string]struct {
 		announced  [][]Member
@@ -211,8 +213,8 @@
 	}
 }
 
-// Guards against a restarted member that had no members at first and sends this empty
-// set to the others, so that every key is uncertain at all members.
+// TestEmptySet guards against a restarted member that had no members at first and
+// sends this empty set to the others, so that every key is uncertain at all members.
 func TestEmptySet(t *testing.T) {
 	is := is.New(t)
 	restarted := New(start, smallLimits)
--- a/node/deduplicator/exchange_test.go
+++ b/node/deduplicator/exchange_test.go
@@ -205,8 +205,8 @@
 	return decision
 }
 
-// Guards against a second run of a request, and against needless uncertainty, when
-// members join, leave or crash.
+// TestHandOver guards against a second run of a request, and against needless
+// uncertainty, when members join, leave or crash.
 func TestHandOver(t *testing.T) {
 	start := func(s *service, name string) bool {
 		s.startProcess(name)
@@ -363,7 +363,8 @@
 	}
 }
 
-// Guards against single steps of a handoff that happen too early or too late.
+// TestHandOverSteps guards against single steps of a handoff that happen too early or
+// too late.
 func TestHandOverSteps(t *testing.T) {
 	cases := map[string]func(is *is.I, s *service, a, b *process){
 		"a member that the joiner does not see keeps its keys": func(is *is.I, s *service, a, b *process) {
@@ -523,10 +524,10 @@
 	}
 }
 
-// Guards against a joiner that relies on a member from which it did not request its
-// keys. That member had left since it was last announced to the joiner, and had got
-// the key back from another member that had not learned of this either. Found with
-// seed 137 of TestHandOverAtRandom.
+// TestJoinWithStaleView guards against a joiner that relies on a member from which it
+// did not request its keys. That member had left since it was last announced to the
+// joiner, and had got the key back from another member that had not learned of this
+// either. Found with seed 137 of TestHandOverAtRandom.
 func TestJoinWithStaleView(t *testing.T) {
 	is := is.New(t)
 	s := newService("a", "b", "c", "d")
@@ -547,8 +548,9 @@
 	is.Equal(s.callAt(s.processes["c"], key).Verdict, sycamorerun.VerdictUncertain)
 }
 
-// Guards against the loss of results of requests that are running when their keys are
-// handed over. Without the result, a repetition at the new owner is uncertain.
+// TestResultAfterTransfer guards against the loss of results of requests that are
+// running when their keys are handed over. Without the result, a repetition at the
+// new owner is uncertain.
 func TestResultAfterTransfer(t *testing.T) {
 	cases := map[string]func(s *service) bool{
 		"to the next owner": func(s *service) bool { ok := s.leave("a"); s.announce(); return ok },
@@ -585,9 +587,9 @@
 	}
 }
 
-// Guards against a second run of a request in random sequences of planned and
-// unplanned membership changes with outdated views. SYCAMORERUN_SEED selects a single
-// seed.
+// TestHandOverAtRandom guards against a second run of a request in random sequences
+// of planned and unplanned membership changes with outdated views. SYCAMORERUN_SEED
+// selects a single seed.
 func TestHandOverAtRandom(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	if text := os.Getenv("SYCAMORERUN_SEED"); text != "" {
@@ -655,7 +657,7 @@
 	}
 }
 
-// Guards against a panic on invalid input from another node.
+// FuzzServe guards against a panic on invalid input from another node.
 func FuzzServe(f *testing.F) {
 	for _, frame := range []*Frame{
 		{Kind: &Frame_Take{Take: &Take{Service: "s", Joiner: &Process{Name: "d", Boot: 1}, Term: 1}}},
--- a/node/deduplicator/session_test.go
+++ b/node/deduplicator/session_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a panic of the metrics library because of a negative increment of
-// the counter of reconciled members, when more members became unreconciled during a
-// round than were reconciled in it.
+// TestReconciledCount guards against a panic of the metrics library because of a
+// negative increment of the counter of reconciled members, when more members became
+// unreconciled during a round than were reconciled in it.
 func TestReconciledCount(t *testing.T) {
 	cases := map[string]struct {
 		asked, remaining int
--- a/node/deduplicator/transfer.go
+++ b/node/deduplicator/transfer.go
@@ -9,8 +9,9 @@
 // Record is the record of a key as sent to another process. If it is not certain,
 // the request may have run or may still be running.
 type Record struct {
-	Key      Key
-	Certain  bool
+	Key     Key
+	Certain bool
+	// Kept is set if the response is recorded. Response may be empty even then.
 	Kept     bool
 	Response []byte
 }
