--- a/parser/field.go
+++ b/parser/field.go
@@ -102,7 +102,7 @@
 	objectLimits   = "limits"
 )
 
-// accessor adapts a typed accessor to objects of type any.
+// accessor adapts a function on *T to objects of type any.
 func accessor[T any](access func(*T) any) func(any) any {
 	return func(object any) any { return access(object.(*T)) }
 }
--- a/persister/client_test.go
+++ b/persister/client_test.go
@@ -17,8 +17,8 @@
 // testLimit replaces the client's size limits to keep test data small.
 const testLimit = 64 << 10
 
-// Guards against reporting that a write had no effect when it may have taken effect,
-// and against hiding that the store refused a call.
+// TestClientFaults guards against reporting that a write had no effect when it may
+// have taken effect, and against hiding that the store refused a call.
 func TestClientFaults(t *testing.T) {
 	respond := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -82,8 +82,9 @@
 	}
 }
 
-// Guards against reporting an unknown outcome when the store can't be reached at
-// all, and against a call that continues after its context has ended.
+// TestClientUnreachable guards against reporting an unknown outcome when the store
+// can't be reached at all, and against a call that continues after its context has
+// ended.
 func TestClientUnreachable(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.NotFoundHandler())
@@ -98,8 +99,8 @@
 	is.True(errors.Is(err, ErrUnavailable))
 }
 
-// Guards against a list that never ends because the store repeats a page, and
-// against a list that exhausts the node's memory.
+// TestClientListPages guards against a list that never ends because the store
+// repeats a page, and against a list that exhausts the node's memory.
 func TestClientListPages(t *testing.T) {
 	value := strings.Repeat("A", testLimit/2)
 	cases := map[string]struct {
--- a/persister/log_test.go
+++ b/persister/log_test.go
@@ -27,8 +27,9 @@
 	}
 }
 
-// Guards against a codec that drops a field, and against a mapping of versions to
-// slots that differs between the writer and the readers of the log.
+// TestEntryRoundTrip guards against a codec that drops a field, and against a
+// mapping of versions to slots that differs between the writer and the readers of
+// the log.
 func TestEntryRoundTrip(t *testing.T) {
 	is := is.New(t)
 	data, err := EncodeEntry(sampleEntry())
@@ -41,8 +42,8 @@
 	is.Equal(LogKey(1024), "log/0000")
 }
 
-// Guards against an entry that the store refuses for its size after the acceptor has
-// decided to commit it.
+// TestEntryTooLarge guards against an entry that the store refuses for its size
+// after the acceptor has decided to commit it.
 func TestEntryTooLarge(t *testing.T) {
 	is := is.New(t)
 	random := make([]byte, ValueBytes)
@@ -56,8 +57,8 @@
 	is.True(errors.Is(err, ErrTooLarge))
 }
 
-// Guards against a panic on damaged log objects, and against an entry that changes
-// when it is decoded and encoded again.
+// FuzzDecodeEntry guards against a panic on damaged log objects, and against an
+// entry that changes when it is decoded and encoded again.
 func FuzzDecodeEntry(f *testing.F) {
 	data, err := EncodeEntry(sampleEntry())
 	if err != nil {
--- a/validator/validator_test.go
+++ b/validator/validator_test.go
@@ -142,7 +142,7 @@
 	})
 }
 
-// largeTree returns a tree of the size planned for two years ahead: 430 services.
+// largeTree returns a tree of the size expected in two years: 430 services.
 func largeTree() map[sycamorerun.Path]sycamorerun.Item {
 	tree := baseTree()
 	for i := range 430 {
