--- a/node/acceptor/acceptor.go
+++ b/node/acceptor/acceptor.go
@@ -55,7 +55,8 @@
 	queue chan *submission
 	// lock guards the fields below. It is a channel so that acquire can return
 	// when its context ends.
-	lock    chan struct{}
+	lock chan struct{}
+	// head is the newest tree that this acceptor has committed or read.
 	head    sycamorerun.Tree
 	history *history
 	// snapshotVersion is the newest version known to be in the snapshot object.
--- a/node/announcer/announcer.go
+++ b/node/announcer/announcer.go
@@ -57,8 +57,9 @@
 	// Warmup is the remaining time of the slow start.
 	Warmup   time.Duration
 	Sequence uint64
-	// Boot is the start of the upstream's process. A later start has a larger
-	// value; zero means unknown.
+	// Boot is the start of the upstream's process. Unlike the random boot id of
+	// a node, it orders the processes: a later start has a larger value. Zero
+	// means unknown.
 	Boot int64
 }
 
--- a/node/deduplicator/session.go
+++ b/node/deduplicator/session.go
@@ -100,7 +100,7 @@
 			learned = merge(learned, grant.Set, e.Records.Self)
 		}
 		if len(e.view(learned)) == len(view) {
-			pause(ctx, joinRetryInterval)
+			sleep(ctx, joinRetryInterval)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		e.metrics().reconciled.Inc(reconciledCount(len(members), remaining))
 		_ = level.Info(e.Logger).Log("msg", "key reconciliation round finished", "strangers", len(members), "left", remaining)
 		if remaining > 0 {
-			pause(ctx, reconcileInterval)
+			sleep(ctx, reconcileInterval)
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	return set
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
--- a/node/tracker/contact.go
+++ b/node/tracker/contact.go
@@ -37,13 +37,13 @@
 			continue
 		}
 		t.contactSeeds(ctx, seedsPerRound)
-		sleep(ctx, jitter(failures))
+		sleep(ctx, backoff(failures))
 		failures++
 	}
 }
 
-// jitter returns an exponential backoff delay with full jitter.
-func jitter(failures int) time.Duration {
+// backoff returns an exponential delay with full jitter.
+func backoff(failures int) time.Duration {
 	bound := maxJoinDelay
 	if failures < 7 {
 		bound = min(bound, minJoinDelay<<failures)
--- a/node/tracker/digest.go
+++ b/node/tracker/digest.go
@@ -57,7 +57,8 @@
 	return list
 }
 
-// listEntries adds the entries of the given buckets to a frame.
+// listEntries adds the key, incarnation and stamp of each record in the given
+// buckets to a frame, except for records that the digest does not cover.
 func (t *table) listEntries(frame *Frame, buckets []uint32) {
 	frame.EntryBuckets = buckets
 	wanted := bucketSet(buckets)
--- a/parser/parser.go
+++ b/parser/parser.go
@@ -27,6 +27,8 @@
 type section struct {
 	field Field
 	kind  string
+	// admin means that the field belongs in the administrators' file, not in a
+	// team's.
 	admin bool
 	// single means that the field's value is itself the only item.
 	single    bool
