--- a/node/announcer/announcer.go
+++ b/node/announcer/announcer.go
@@ -57,8 +57,9 @@
 	// Warmup is the remaining time of the slow start.
 	Warmup   time.Duration
 	Sequence uint64
-	// Boot is the start of the upstream's process. A later start has a larger
-	// value; zero means unknown.
+	// Boot is the start of the upstream's process. Unlike the random boot id of
+	// a node, it orders the processes: a later start has a larger value. Zero
+	// means unknown.
 	Boot int64
 }
 
@@ -123,7 +124,8 @@
 }
 
 // supersedes reports whether an announcement of another boot or another id
-// replaces the current upstream.
+// replaces the current upstream. It records a boot that is leaving in the
+// history, so that its late announcements are ignored.
 func (a *Announcer) supersedes(now time.Time, in Announcement) bool {
 	later := in.Boot > a.current.Boot && a.current.ID != ""
 	switch {
@@ -255,8 +257,8 @@
 	}
 }
 
-// Expire makes an upstream unavailable that stopped announcing itself, and ends
-// a warm-up.
+// Expire makes an upstream unavailable that has stopped announcing itself, and
+// ends a warm-up whose time is over.
 func (a *Announcer) Expire(now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
