--- a/objectstore/cmd/srstore/main.go
+++ b/objectstore/cmd/srstore/main.go
@@ -39,9 +39,9 @@
 	flags := loader.New("srstore")
 	loader.Add(flags, &cfg.listen, "listen", "127.0.0.1:7000", loader.Address(), "address to listen on")
 	loader.Add(flags, &cfg.faults, "faults", "", loader.Text("JSON as for PUT /faults, or nothing"), "fault plan")
-	loader.Add(flags, &cfg.history, "history", "4096", loader.Int(1, 1<<20), "writes that a watch can still see")
-	loader.Add(flags, &cfg.seed, "seed", "1", loader.Int(0, math.MaxInt), "seed for faults that hit a fraction of the calls")
-	loader.Add(flags, &cfg.level, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "least level logged")
+	loader.Add(flags, &cfg.history, "history", "4096", loader.Int(1, 1<<20), "maximum number of past writes kept for watches")
+	loader.Add(flags, &cfg.seed, "seed", "1", loader.Int(0, math.MaxInt), "seed for faults that affect a share of the callers or a fraction of the calls")
+	loader.Add(flags, &cfg.level, "log-level", "info", loader.Choice("debug", "info", "warn", "error"), "minimum level of logged messages")
 	ok, code := flags.Start(os.Args[1:], os.LookupEnv, loader.Streams{Out: os.Stdout, Err: os.Stderr})
 	if !ok {
 		os.Exit(code)
--- a/objectstore/server/server.go
+++ b/objectstore/server/server.go
@@ -131,11 +131,11 @@
 func (s *Server) watch(r request) (any, error) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil || wait < 0 {
-		return nil, errors.Wrap(keeper.ErrInvalid, "wait")
+		return nil, errors.Wrap(keeper.ErrInvalid, "parameter wait is not a duration of 0 or more")
 	}
 	keysOnly, err := strconv.ParseBool(r.URL.Query().Get("keys"))
 	if err != nil {
-		return nil, errors.Wrap(keeper.ErrInvalid, "keys")
+		return nil, errors.Wrap(keeper.ErrInvalid, "parameter keys is not a boolean")
 	}
 	caller := callerName(r.Request)
 	s.usages.add(caller, func(u *Usage) { u.Watches++ })
@@ -150,7 +150,7 @@
 }
 
 // handle returns the handler of an operation. It applies faults and rate limits
-// and counts the call. The query parameter has the key or the prefix.
+// and counts the call. The named query parameter has the key or the prefix.
 func (s *Server) handle(operation injector.Operation, parameter string, operate func(request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		caller, conn := callerName(r), connectionOf(r)
