--- a/ctl/commander/fake_test.go
+++ b/ctl/commander/fake_test.go
@@ -36,7 +36,8 @@
 	outcome     func(id string) (*settings.Outcome, error)
 	check       func(*settings.CheckPayload) (*settings.CheckResult, error)
 	convergence func() *fleet.ConvergenceResult
-	explained   *fleet.ExplainPayload
+	// explained is the payload of the last explain request.
+	explained *fleet.ExplainPayload
 	// intercept runs before each request. It returns false when it has handled the
 	// request itself.
 	intercept func(http.ResponseWriter, *http.Request) bool
