--- a/bench/caller/caller.go
+++ b/bench/caller/caller.go
@@ -2,7 +2,8 @@
 // request is sent when it is due, whether or not earlier ones have ended, and its
 // latency counts from that time. Each attempt carries its own id in the header and
 // the body, so that the journals of the upstreams show which attempts were
-// executed.
+// executed. Package generator, in contrast, sends identical calls without retries
+// and only counts their results.
 package caller
 
 import (
@@ -31,7 +32,8 @@
 	defaultRetryDelay = 50 * time.Millisecond
 )
 
-// Generator sends the requests of all callers. Set the fields before Run.
+// Generator sends the requests of all callers, with their retries, and records
+// each attempt. Set the fields before Run.
 type Generator struct {
 	// Name is the prefix of the request ids. Generators of one experiment need
 	// different names if their kinds have the same names.
--- a/bench/caller/caller_test.go
+++ b/bench/caller/caller_test.go
@@ -46,8 +46,8 @@
 	is.True(within(count(16*time.Second, 20*time.Second), 800))
 }
 
-// Guards against misread results, latencies without the waiting time, retries of
-// requests that must not run twice, and an ignored Retry-After.
+// Guards against misread results, latencies that exclude the delay before a
+// retry, retries of requests that must not run twice, and an ignored Retry-After.
 func TestAttempts(t *testing.T) {
 	upstream := &server.Server{Name: "u", Slots: 100, Recorder: recorder.New(), Now: time.Now}
 	handler := upstream.Handler()
--- a/bench/deployer/deployment.go
+++ b/bench/deployer/deployment.go
@@ -6,7 +6,7 @@
 )
 
 // Umuyoboro returns the users' deployment of that name: its availability zones,
-// services, workers and network delays.
+// services, instances and network delays.
 func Umuyoboro() Spec {
 	return Spec{
 		Zones: deployment("quote-desk", 8, "survey-store", 6, "kigali", "north", "south"),
@@ -29,15 +29,15 @@
 }
 
 // deployment returns two availability zones for each region and distributes the
-// workers of two services over them in turn.
-func deployment(first string, firstWorkers int, second string, secondWorkers int, regions ...string) []Zone {
+// instances of two services over them in turn.
+func deployment(first string, firstInstances int, second string, secondInstances int, regions ...string) []Zone {
 	var zones []Zone
 	for _, region := range regions {
 		for _, suffix := range []string{"-1", "-2"} {
 			zones = append(zones, Zone{Name: region + suffix, Region: region})
 		}
 	}
-	for i, service := range slices.Concat(slices.Repeat([]string{first}, firstWorkers), slices.Repeat([]string{second}, secondWorkers)) {
+	for i, service := range slices.Concat(slices.Repeat([]string{first}, firstInstances), slices.Repeat([]string{second}, secondInstances)) {
 		zone := &zones[i%len(zones)]
 		zone.Services = append(zone.Services, service)
 		zone.Nodes++
--- a/bench/generator/generator.go
+++ b/bench/generator/generator.go
@@ -1,6 +1,8 @@
-// Package generator sends calls in an open loop: each call starts at its scheduled
-// time, whether or not earlier ones have ended, and its latency counts from that
-// time, so that queueing delays are included.
+// Package generator sends identical calls to each of its targets in an open loop:
+// each call starts at its scheduled time, whether or not earlier ones have ended,
+// and its latency counts from that time, so that queueing delays are included.
+// Calls are counted by result and not retried. For the varied requests of callers,
+// with retries and a record of each attempt, see caller.Generator.
 package generator
 
 import (
--- a/bench/judge/attempt.go
+++ b/bench/judge/attempt.go
@@ -26,7 +26,7 @@
 		}
 	}
 	if record.AtMostOnce && len(executions) > 1 {
-		executions = sortByTime(executions, func(r *execution) time.Time { return r.start })
+		executions = sortByTime(executions, func(e *execution) time.Time { return e.start })
 		j.add(Finding{Once, record.ID, executions[1].instance, executions[0].start, executions[1].start, fmt.Sprintf("ran %d times, first at %s", len(executions), executions[0].instance)})
 	}
 }
@@ -47,7 +47,8 @@
 	return result
 }
 
-// judgeAttempt finds wrong responses and responses after the deadline.
+// judgeAttempt finds wrong responses and attempts that end too long after their
+// deadline.
 func (j *judgement) judgeAttempt(attempt caller.Attempt) {
 	elapsed := attempt.End.Sub(attempt.Start)
 	finding := Finding{ID: attempt.ID, Instance: attempt.Node, Start: attempt.Start, End: attempt.End}
--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -53,8 +53,8 @@
 	Answer: 500 * time.Millisecond, Release: 500 * time.Millisecond,
 }
 
-// Version is an accepted version of the settings. Number is the one that its
-// marker encodes.
+// Version is an accepted version of the settings. Number is the number that
+// caller.MarkerTimeout encodes in the timeout of the marker route.
 type Version struct {
 	Number   int
 	Accepted time.Time
@@ -80,7 +80,7 @@
 	// response, no false "not run", no second execution and no older version.
 	Faults []Span
 	// Stalls are the spans in which the callers' process did not run. Their length
-	// is subtracted from the delays that the callers measured.
+	// is subtracted from the delays in the callers' records.
 	Stalls []Span
 }
 
--- a/bench/launcher/launcher.go
+++ b/bench/launcher/launcher.go
@@ -1,5 +1,5 @@
-// Package launcher starts a small fleet of real processes on loopback for
-// measurements. It is a development tool; deployed programs start no processes.
+// Package launcher starts real processes for tests and measurements. It is a
+// development tool; deployed programs start no processes.
 package launcher
 
 import (
