--- a/bench/system/mixes_test.go
+++ b/bench/system/mixes_test.go
@@ -35,11 +35,11 @@
 	route := func(kind mixer.Kind, class sycamorerun.Class, service string) string {
 		return fmt.Sprintf("  %s: {hosts: [%s.example], prefix: /, class: %s, split: [{service: %s, weight: 100}]}\n", kind, kind, class, service)
 	}
-	const service = "team: %s\nservices:\n  %s: {slots: 6, queue: 12, connections: 130, timeout: 5s, idle: 2s, warmup: 0s}\nroutes:\n"
+	const teamFormat = "team: %s\nservices:\n  %s: {slots: 6, queue: 12, connections: 130, timeout: 5s, idle: 2s, warmup: 0s}\nroutes:\n"
 	return map[string]string{
-		"quoting": fmt.Sprintf(service, "quoting", desk) +
+		"quoting": fmt.Sprintf(teamFormat, "quoting", desk) +
 			route(mixer.Status, sycamorerun.Interactive, desk) + route(mixer.Order, sycamorerun.Interactive, desk),
-		"surveys": fmt.Sprintf(service, "surveys", store) +
+		"surveys": fmt.Sprintf(teamFormat, "surveys", store) +
 			route(mixer.Count, sycamorerun.Interactive, store) + route(mixer.Upload, sycamorerun.Bulk, store) +
 			route(mixer.History, sycamorerun.Bulk, store) + route(mixer.Sync, sycamorerun.Background, store),
 	}
@@ -108,14 +108,14 @@
 				is.Equal(records.Requests, before[node])
 				is.True(records.LastAfterDrain <= drainLimit)
 			}
-			items := callers.Calls()
-			for _, fault := range mixer.Judge(items, sumJournals(t, fleet)) {
-				t.Error(fault)
+			calls := callers.Calls()
+			for _, violation := range mixer.Judge(calls, sumJournals(t, fleet)) {
+				t.Error(violation)
 			}
-			checkPlannedStops(t, items, stopsStart, faultsStart)
-			logPhase(t, "planned stops", items, stopsStart, faultsStart)
-			logPhase(t, "failures", items, faultsStart, recoveryStart)
-			logPhase(t, "recovery", items, recoveryStart, time.Now())
+			checkPlannedStops(t, calls, stopsStart, faultsStart)
+			logPhase(t, "planned stops", calls, stopsStart, faultsStart)
+			logPhase(t, "failures", calls, faultsStart, recoveryStart)
+			logPhase(t, "recovery", calls, recoveryStart, time.Now())
 			for name, phase := range map[string]struct {
 				from, to time.Time
 				// reads and orders are the minimum shares of answered calls. While four
@@ -129,18 +129,18 @@
 				"failures":      {faultsStart, recoveryStart, 0.99, 0.5},
 				"recovery":      {recoveryStart, time.Now(), 1, 0.7},
 			} {
-				if share := answeredShare(itemsWithin(items, phase.from, phase.to, mixer.Status, mixer.Count)); share < phase.reads {
+				if share := answeredShare(callsWithin(calls, phase.from, phase.to, mixer.Status, mixer.Count)); share < phase.reads {
 					t.Errorf("%s: share of answered interactive reads is %.4f, want at least %.2f", name, share, phase.reads)
 				}
 				t.Run("orders during "+name, func(t *testing.T) {
-					if share := answeredShare(itemsWithin(items, phase.from, phase.to, mixer.Order)); share < phase.orders {
+					if share := answeredShare(callsWithin(calls, phase.from, phase.to, mixer.Order)); share < phase.orders {
 						t.Errorf("share of answered orders is %.4f, want at least %.2f", share, phase.orders)
 					}
 				})
 			}
 			refused := 0
-			for _, item := range itemsWithin(items, stopsStart, recoveryStart, mixer.Sync) {
-				if !item.Answered() {
+			for _, call := range callsWithin(calls, stopsStart, recoveryStart, mixer.Sync) {
+				if !call.Answered() {
 					refused++
 				}
 			}
@@ -161,9 +161,9 @@
 	cutZone string
 }
 
-func (v faultTargets) String() string {
+func (f faultTargets) String() string {
 	return fmt.Sprintf("drained %s, stopped %s, killed %s, paused %s, crashed upstream %s, stuck upstream %s, cut %s",
-		v.drained.Name, v.stopped.Name, v.killed.Name, v.paused.Name, v.crashed.Name, v.stuck.Name, v.cutZone)
+		f.drained.Name, f.stopped.Name, f.killed.Name, f.paused.Name, f.crashed.Name, f.stuck.Name, f.cutZone)
 }
 
 // chooseFaultTargets picks three nodes of each service at random, so that at
@@ -184,26 +184,26 @@
 
 // runPlannedStops drains one upstream and stops another node with calls in
 // flight. It returns the number of requests at both upstreams after drainLimit.
-func runPlannedStops(t *testing.T, v faultTargets, callers *mixer.Mixer) map[*deployer.Node]int {
+func runPlannedStops(t *testing.T, targets faultTargets, callers *mixer.Mixer) map[*deployer.Node]int {
 	t.Helper()
 	is := is.New(t)
 	ctx := t.Context()
 	var group sync.WaitGroup
 	for i := range 4 {
 		group.Go(func() {
-			attempt := callers.Send(ctx, v.stopped.Name, &mixer.Call{Kind: mixer.History, ID: fmt.Sprintf("in-flight-%d", i)}, nil)
+			attempt := callers.Send(ctx, targets.stopped.Name, &mixer.Call{Kind: mixer.History, ID: fmt.Sprintf("in-flight-%d", i)}, nil)
 			if !attempt.Answered() || !attempt.Whole {
 				t.Errorf("call in flight at the stopped node was not answered: %+v", attempt)
 			}
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	is.NoErr(deployer.Put(ctx, v.drained.Control, "/behavior", map[string]any{"state": "draining"}))
-	is.NoErr(v.stopped.Process.Signal(syscall.SIGTERM))
+	is.NoErr(deployer.Put(ctx, targets.drained.Control, "/behavior", map[string]any{"state": "draining"}))
+	is.NoErr(targets.stopped.Process.Signal(syscall.SIGTERM))
 	time.Sleep(drainLimit)
 	group.Wait()
 	requests := map[*deployer.Node]int{}
-	for _, node := range []*deployer.Node{v.drained, v.stopped} {
+	for _, node := range []*deployer.Node{targets.drained, targets.stopped} {
 		records, err := recordsOf(ctx, node)
 		is.NoErr(err)
 		is.True(records.Requests > 0)
@@ -214,27 +214,27 @@
 
 // injectFailures makes nodes, upstreams and connections fail and then ends all
 // failures.
-func injectFailures(t *testing.T, fleet *deployer.Fleet, v faultTargets) {
+func injectFailures(t *testing.T, fleet *deployer.Fleet, targets faultTargets) {
 	t.Helper()
 	is := is.New(t)
 	ctx := t.Context()
-	v.killed.Process.Kill()
-	is.NoErr(v.paused.Process.Signal(syscall.SIGSTOP))
+	targets.killed.Process.Kill()
+	is.NoErr(targets.paused.Process.Signal(syscall.SIGSTOP))
 	time.Sleep(500 * time.Millisecond)
-	fleet.Partition(v.cutZone)
+	fleet.Partition(targets.cutZone)
 	time.Sleep(200 * time.Millisecond)
 	fleet.Heal()
-	v.crashed.UpstreamProcess.Kill()
+	targets.crashed.UpstreamProcess.Kill()
 	time.Sleep(1300 * time.Millisecond)
-	is.NoErr(v.stuck.UpstreamProcess.Signal(syscall.SIGSTOP))
-	is.NoErr(fleet.StartNode(ctx, v.killed))
-	is.NoErr(fleet.StartUpstream(ctx, v.crashed))
-	is.NoErr(fleet.WaitReady(ctx, v.killed))
+	is.NoErr(targets.stuck.UpstreamProcess.Signal(syscall.SIGSTOP))
+	is.NoErr(fleet.StartNode(ctx, targets.killed))
+	is.NoErr(fleet.StartUpstream(ctx, targets.crashed))
+	is.NoErr(fleet.WaitReady(ctx, targets.killed))
 	time.Sleep(1500 * time.Millisecond)
-	is.NoErr(v.stuck.UpstreamProcess.Signal(syscall.SIGCONT))
+	is.NoErr(targets.stuck.UpstreamProcess.Signal(syscall.SIGCONT))
 	time.Sleep(500 * time.Millisecond)
 	// The pause is longer than the time after which peers close a silent link.
-	is.NoErr(v.paused.Process.Signal(syscall.SIGCONT))
+	is.NoErr(targets.paused.Process.Signal(syscall.SIGCONT))
 	time.Sleep(500 * time.Millisecond)
 }
 
@@ -260,47 +260,47 @@
 // checkPlannedStops fails the test for each call that a planned stop
 // interrupted. An order may return unknown when the instance that holds its key
 // has left.
-func checkPlannedStops(t *testing.T, items []*mixer.Call, from, to time.Time) {
+func checkPlannedStops(t *testing.T, calls []*mixer.Call, from, to time.Time) {
 	t.Helper()
-	for _, item := range items {
-		for _, attempt := range item.Attempts {
-			excused := item.Kind == mixer.Order && strings.HasPrefix(attempt.Reason, "key-")
+	for _, call := range calls {
+		for _, attempt := range call.Attempts {
+			excused := call.Kind == mixer.Order && strings.HasPrefix(attempt.Reason, "key-")
 			if attempt.Result == sycamorerun.Unknown && !excused && attempt.Began.After(from) && attempt.Began.Add(attempt.Took).Before(to) {
-				t.Errorf("%s was interrupted during planned stops: %+v", item.ID, attempt)
+				t.Errorf("%s was interrupted during planned stops: %+v", call.ID, attempt)
 			}
 		}
 	}
 }
 
-// itemsWithin returns the items of the given kinds whose attempts all lie between
+// callsWithin returns the calls of the given kinds whose attempts all lie between
 // from and to.
-func itemsWithin(items []*mixer.Call, from, to time.Time, kinds ...mixer.Kind) []*mixer.Call {
-	return slices.DeleteFunc(slices.Clone(items), func(item *mixer.Call) bool {
-		last := item.Attempts[len(item.Attempts)-1]
-		return !slices.Contains(kinds, item.Kind) || item.Attempts[0].Began.Before(from) || last.Began.Add(last.Took).After(to)
+func callsWithin(calls []*mixer.Call, from, to time.Time, kinds ...mixer.Kind) []*mixer.Call {
+	return slices.DeleteFunc(slices.Clone(calls), func(call *mixer.Call) bool {
+		last := call.Attempts[len(call.Attempts)-1]
+		return !slices.Contains(kinds, call.Kind) || call.Attempts[0].Began.Before(from) || last.Began.Add(last.Took).After(to)
 	})
 }
 
-// answeredShare returns the share of items that were answered.
-func answeredShare(items []*mixer.Call) float64 {
+// answeredShare returns the share of calls that were answered.
+func answeredShare(calls []*mixer.Call) float64 {
 	answered := 0
-	for _, item := range items {
-		if item.Answered() {
+	for _, call := range calls {
+		if call.Answered() {
 			answered++
 		}
 	}
-	return float64(answered) / float64(len(items))
+	return float64(answered) / float64(len(calls))
 }
 
 // logPhase logs the results and latencies of the calls of each kind in a phase.
-func logPhase(t *testing.T, phase string, items []*mixer.Call, from, to time.Time) {
+func logPhase(t *testing.T, phase string, calls []*mixer.Call, from, to time.Time) {
 	t.Helper()
 	for _, kind := range []mixer.Kind{mixer.Status, mixer.Count, mixer.Order, mixer.Upload, mixer.History, mixer.Sync} {
 		reasons := map[string]int{}
 		var durations []time.Duration
-		phaseItems := itemsWithin(items, from, to, kind)
-		for _, item := range phaseItems {
-			for _, attempt := range item.Attempts {
+		phaseCalls := callsWithin(calls, from, to, kind)
+		for _, call := range phaseCalls {
+			for _, attempt := range call.Attempts {
 				if attempt.Answered() {
 					durations = append(durations, attempt.Took)
 					continue
@@ -312,7 +312,7 @@
 		if len(durations) == 0 {
 			durations = append(durations, 0)
 		}
-		t.Logf("%s, %s: %d calls, %.4f answered, p50 %s, p99 %s; attempts not answered: %v", phase, kind, len(phaseItems),
-			answeredShare(phaseItems), durations[len(durations)/2].Round(time.Millisecond), durations[len(durations)*99/100].Round(time.Millisecond), reasons)
+		t.Logf("%s, %s: %d calls, %.4f answered, p50 %s, p99 %s; attempts not answered: %v", phase, kind, len(phaseCalls),
+			answeredShare(phaseCalls), durations[len(durations)/2].Round(time.Millisecond), durations[len(durations)*99/100].Round(time.Millisecond), reasons)
 	}
 }
--- a/bench/system/route_test.go
+++ b/bench/system/route_test.go
@@ -36,10 +36,10 @@
 		return strings.Join(names, ",")
 	}
 	is.Equal(unservedRoutes(), "")
-	var stopped []*deployer.Node
+	var drained []*deployer.Node
 	for _, node := range fleet.Nodes {
 		if node.Service == "survey-store" {
-			stopped = append(stopped, node)
+			drained = append(drained, node)
 			is.NoErr(deployer.Put(ctx, node.Control, "/behavior", map[string]any{"state": "draining"}))
 		}
 	}
@@ -54,7 +54,7 @@
 	result, code, _ := call(ctx, observer, "GET", "surveys.example", "/", "", nil)
 	is.Equal(string(result), "not-run")
 	is.Equal(code, 503)
-	for _, node := range stopped {
+	for _, node := range drained {
 		is.NoErr(deployer.Put(ctx, node.Control, "/behavior", map[string]any{"state": "ready"}))
 	}
 	is.NoErr(deployer.Eventually(ctx, convergenceLimit, func() bool { return unservedRoutes() == "" }))
