--- a/duration.go
+++ b/duration.go
@@ -22,11 +22,11 @@
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return errors.Wrap(err, "decode duration")
+		return errors.Wrap(err, "duration")
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
-		return errors.Wrap(err, "parse duration")
+		return errors.Wrap(err, "duration")
 	}
 	*d = Duration(parsed)
 	return nil
--- a/node/runner/announce.go
+++ b/node/runner/announce.go
@@ -31,12 +31,12 @@
 func (n *node) announce(announcement manager.Announcement) error {
 	if announcement.ID == "" {
 		if current, ok := n.calls.upstream.lastAnnouncement(); ok && current.Service != announcement.Service {
-			return errors.Errorf("this node already serves %s", current.Service)
+			return errors.Errorf("this node serves %s already", current.Service)
 		}
 		announcement.ID = defaultUpstreamID
 	}
 	if n.processAnnouncement(time.Now(), announcement) == announcer.Invalid {
-		return errors.New("announcement has no usable service, address, state or number of slots")
+		return errors.New("the announcement names no upstream that can be used")
 	}
 	return nil
 }
--- a/objectstore/keeper/keeper.go
+++ b/objectstore/keeper/keeper.go
@@ -24,7 +24,7 @@
 
 // ErrInvalid means that a call is malformed or that its key or value exceeds the
 // limits.
-var ErrInvalid = errors.New("invalid call")
+var ErrInvalid = errors.New("invalid key or value")
 
 // Keeper is the in-memory object store. Its methods may be called concurrently.
 type Keeper struct {
--- a/objectstore/server/server.go
+++ b/objectstore/server/server.go
@@ -131,11 +131,11 @@
 func (s *Server) watch(r request) (any, error) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil || wait < 0 {
-		return nil, errors.Wrap(keeper.ErrInvalid, "parameter wait is not a duration of 0 or more")
+		return nil, errors.Wrap(keeper.ErrInvalid, "wait")
 	}
 	keysOnly, err := strconv.ParseBool(r.URL.Query().Get("keys"))
 	if err != nil {
-		return nil, errors.Wrap(keeper.ErrInvalid, "parameter keys is not a boolean")
+		return nil, errors.Wrap(keeper.ErrInvalid, "keys")
 	}
 	caller := callerName(r.Request)
 	s.usages.add(caller, func(u *Usage) { u.Watches++ })
--- a/parser/part.go
+++ b/parser/part.go
@@ -217,7 +217,7 @@
 		total += estimateValues(other.text)
 	}
 	if d.redecodes++; d.redecodes > MaxAliases || total > MaxValues {
-		return nil, p.setLine(newFaults(CodeTooManyAliases, p.path(), "the file's anchors and the items that use them are too large in total"))
+		return nil, p.setLine(newFaults(CodeTooManyAliases, p.path(), "the anchors of the file and the items with them are too large together"))
 	}
 	return decodeLast(parts)
 }
--- a/parser/rule.go
+++ b/parser/rule.go
@@ -114,7 +114,7 @@
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		keyPath := joinPath(path, key)
 		if key == "host" {
-			faults = append(faults, newFaults(CodeBadName, keyPath, "a route matches the host with its field hosts, not with a header")...)
+			faults = append(faults, newFaults(CodeBadName, keyPath, "the field hosts matches the host")...)
 		}
 		faults = append(faults, f.Format.check(keyPath, key)...)
 		faults = append(faults, valueFormat.check(keyPath, values[key])...)
--- a/parser/verify.go
+++ b/parser/verify.go
@@ -25,7 +25,7 @@
 		return nil, newFaults(CodeTooLarge, string(path), "%d bytes are more than %d", len(item), MaxItemBytes)
 	}
 	if err := json.Unmarshal(item, object); err != nil {
-		return nil, newFaults(CodeMalformed, string(path), "invalid JSON for the item's kind: %s", err)
+		return nil, newFaults(CodeMalformed, string(path), "not the JSON of its kind: %s", err)
 	}
 	canonical, err := json.Marshal(object)
 	if err != nil || !bytes.Equal(canonical, item) {
--- a/upstream/server/chain.go
+++ b/upstream/server/chain.go
@@ -85,7 +85,7 @@
 		return
 	}
 	if s.Caller == nil {
-		http.Error(w, "no node is configured for the next call", http.StatusNotImplemented)
+		http.Error(w, "no node for the next call", http.StatusNotImplemented)
 		return
 	}
 	chain, err := s.Caller.forward(r, hosts)
--- a/upstream/server/run.go
+++ b/upstream/server/run.go
@@ -69,7 +69,7 @@
 	id := r.Header.Get(HeaderCall)
 	size, err := strconv.Atoi(query.Get("size"))
 	if err != nil || size < 0 || size > maxRunBytes || !validID(id) {
-		http.Error(w, "size must be from 0 to 67108864 and the request must have a valid id", http.StatusBadRequest)
+		http.Error(w, "size from 0 to 67108864 and an id are needed", http.StatusBadRequest)
 		return
 	}
 	received, err := io.ReadAll(io.LimitReader(r.Body, maxRunBytes))
@@ -80,7 +80,7 @@
 	length, err := strconv.Atoi(query.Get("bytes"))
 	if err != nil || length > maxRunBytes || !bytes.Equal(received, Body(id, length)) {
 		s.logEvent(recorder.StepDamage, id)
-		http.Error(w, "request body does not match the id and the length", http.StatusBadRequest)
+		http.Error(w, "the body is not that of the request", http.StatusBadRequest)
 		return
 	}
 	s.execute(w, r, id, Answer(id, received, size))
--- a/upstream/server/server.go
+++ b/upstream/server/server.go
@@ -241,7 +241,7 @@
 func (s *Server) slow(w http.ResponseWriter, r *http.Request) {
 	d, err := time.ParseDuration(r.URL.Query().Get("for"))
 	if err != nil || d < 0 || d > maxWork {
-		http.Error(w, fmt.Sprintf("for must be a duration from 0 to %s", maxWork), http.StatusBadRequest)
+		http.Error(w, fmt.Sprintf("for: a duration up to %s", maxWork), http.StatusBadRequest)
 		return
 	}
 	if !s.sleep(r.Context(), d) {
@@ -263,12 +263,12 @@
 func (s *Server) bytes(w http.ResponseWriter, r *http.Request) {
 	size, err := strconv.ParseInt(r.URL.Query().Get("size"), 10, 64)
 	if err != nil || size < 0 || size > 1<<30 {
-		http.Error(w, "size must be from 0 to 1073741824", http.StatusBadRequest)
+		http.Error(w, "size: 0 to 1073741824", http.StatusBadRequest)
 		return
 	}
 	duration, err := time.ParseDuration(cmp.Or(r.URL.Query().Get("for"), "0s"))
 	if err != nil || duration < 0 || duration > maxWork {
-		http.Error(w, fmt.Sprintf("for must be a duration from 0 to %s", maxWork), http.StatusBadRequest)
+		http.Error(w, fmt.Sprintf("for: a duration up to %s", maxWork), http.StatusBadRequest)
 		return
 	}
 	block := make([]byte, 32<<10)
