--- a/node/manager/manager.go
+++ b/node/manager/manager.go
@@ -29,7 +29,7 @@
 type Status struct {
 	Phase Phase
 	// Refused is the number of versions that this node refused since its start.
-	// Fault describes the last refusal, until that version or a later one is active.
+	// Fault describes the last refusal, until that version or a later one is in force.
 	Refused  uint64
 	Fault    string
 	Sessions int
@@ -51,7 +51,7 @@
 	Upstreams int
 }
 
-// Route is an active route and the state of its services.
+// Route is a route in force and the state of its services.
 type Route struct {
 	Path  sycamorerun.Path
 	State string
@@ -77,7 +77,7 @@
 	Difference sycamorerun.Difference
 }
 
-// Laggard is a node whose active version is older than the newest one.
+// Laggard is a node whose version in force is older than the newest one.
 type Laggard struct {
 	Name    string
 	Version sycamorerun.Version
@@ -93,7 +93,7 @@
 	// members that did not.
 	Nodes  int
 	Silent int
-	// Versions counts the nodes by their active version.
+	// Versions counts the nodes by their version in force.
 	Versions map[sycamorerun.Version]int
 	Laggards []Laggard
 }
@@ -155,7 +155,7 @@
 
 	// Identify returns the identity of the holder of a token.
 	Identify func(token string) (authenticator.Identity, bool)
-	// Current returns the active tree and its hash.
+	// Current returns the tree in force and its hash.
 	Current func() (sycamorerun.Tree, sycamorerun.Hash)
 	// Parse parses a settings file.
 	Parse func(text []byte) (team string, items map[sycamorerun.Path]sycamorerun.Item, faults []sycamorerun.Fault)
--- a/node/runner/calls.go
+++ b/node/runner/calls.go
@@ -37,7 +37,7 @@
 }
 
 // newCalls wires the data path. The functions current, instances and members return
-// the active configuration, the serving members of a service and all live members.
+// the configuration in force, the serving members of a service and all live members.
 func newCalls(now time.Time, activeSettings func() *Settings, current func() *applier.State, instances func(service string) []sycamorerun.Instance, members func() []sycamorerun.Instance) *calls {
 	settings := activeSettings()
 	c := &calls{upstream: &localUpstream{
--- a/node/runner/node.go
+++ b/node/runner/node.go
@@ -223,7 +223,7 @@
 	n.reportRoutes(now)
 }
 
-// newReporter returns a reporter of the routes in the active configuration and of
+// newReporter returns a reporter of the routes in the configuration in force and of
 // the serving members.
 func newReporter(current func() *applier.State, members *fleet) *reporter.Reporter {
 	return &reporter.Reporter{
@@ -250,7 +250,7 @@
 	}
 }
 
-// configurationChanged is called after each version becomes active.
+// configurationChanged is called after each version comes into force.
 func (n *node) configurationChanged(state applier.State) {
 	n.setLimits()
 	n.authenticator.Update(state.Tree.Items)
