--- a/api/design/design.go
+++ b/api/design/design.go
@@ -89,7 +89,8 @@
 	Required("version", "id", "team", "operator", "kind", "time")
 })
 
-// authorized requires an operator's token for a service and declares its errors.
+// authorized requires an operator's token for a service and declares the errors
+// that its methods can return.
 var authorized = func() {
 	Security(operatorToken)
 	Error("unauthorized", Problem, "The token is missing or not known")
@@ -99,7 +100,8 @@
 	Error("missing", Problem, "Nothing has that name")
 }
 
-// statuses maps the errors of authorized to HTTP status codes.
+// statuses maps the errors of authorized to HTTP status codes and the token to the
+// Authorization header.
 var statuses = func() {
 	Response("unauthorized", StatusUnauthorized)
 	Response("forbidden", StatusForbidden)
@@ -229,7 +231,7 @@
 	Required("name", "zone", "region", "address", "service", "state", "slots", "suspect")
 })
 
-// Tally is the number of nodes at one version.
+// Tally is the number of nodes that have a certain version in force.
 var Tally = Type("Tally", func() {
 	Attribute("version", UInt64)
 	Attribute("nodes", Int)
--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Runs a small fleet on loopback: the stand-in store, six nodes in three
-# regions with an upstream beside each, and the operators' client. It accepts
-# settings, calls services, changes a route without a restart, and ends.
-# Exits non-zero when any step fails; leaves no process behind.
+# regions with an upstream beside each, and the operators' client. The script
+# applies settings, calls services and changes a route without restarting a node.
+# It exits non-zero if a step fails, and stops all processes at the end.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BIN=$PWD/bin
@@ -23,7 +23,7 @@
 }
 trap finish EXIT
 
-# start NAME PROGRAM ARGS: runs a process in the background, its log in a file.
+# start NAME PROGRAM ARGS: runs a program in the background with its log in NAME.log.
 start() {
   local name=$1
   shift
@@ -38,7 +38,7 @@
   "$@"
 }
 
-# expect WANTED COMMAND: shows the command and fails when its output lacks WANTED.
+# expect WANTED COMMAND: runs show COMMAND and fails if its output lacks WANTED.
 expect() {
   local wanted=$1 output
   shift
@@ -47,7 +47,7 @@
   grep -qF "$wanted" <<<"$output" || { echo "expected to see: $wanted" >&2; return 1; }
 }
 
-# token NAME: makes an operator's token; the token in NAME.token, its hash in NAME.hash.
+# token NAME: creates an operator's token in NAME.token and its hash in NAME.hash.
 token() {
   "$BIN/srctl" token new >"$WORK/$1.new"
   awk '/^token/ {print $2}' "$WORK/$1.new" >"$WORK/$1.token"
