--- a/bench/cmd/srbench/play.go
+++ b/bench/cmd/srbench/play.go
@@ -100,5 +100,5 @@
 		return 0, err
 	}
 	fmt.Print(plotter.Table(result))
-	return result.Broken(), nil
+	return result.BrokenPromises(), nil
 }
--- a/bench/experimenter/action.go
+++ b/bench/experimenter/action.go
@@ -1,123 +1,125 @@
 package experimenter
 
-// Action is the kind of an event.
-type Action string
+// EventKind is the kind of an event.
+type EventKind string
 
 // Kinds of events.
 const (
-	// Load multiplies the rate of kinds of requests by Factor.
-	Load Action = "load"
-	// Change lets operators write a version every Every.
-	Change Action = "change"
+	// Load multiplies the request rate of the selected kinds by Factor.
+	Load EventKind = "load"
+	// Change submits a settings change at the interval Every.
+	Change EventKind = "change"
 
-	// Refuse, Stall, Lag, Lose and Stale are faults of the store: it answers 503,
-	// answers nothing, takes Delay longer, loses responses after the effect, and
-	// answers reads from the state at the start of the event. They hit Share of
-	// the calls of the selected nodes.
-	Refuse Action = "refuse"
-	Stall  Action = "stall"
-	Lag    Action = "lag"
-	Lose   Action = "lose"
-	Stale  Action = "stale"
+	// Refuse, Stall, Lag, Lose and Stale are store faults. The store responds
+	// with 503, does not respond, adds Delay, drops the response after executing
+	// the call, or serves reads from the state at the start of the event. They
+	// affect Share of the calls of the selected nodes.
+	Refuse EventKind = "refuse"
+	Stall  EventKind = "stall"
+	Lag    EventKind = "lag"
+	Lose   EventKind = "lose"
+	Stale  EventKind = "stale"
 
-	// Cut separates the selected availability zones from all others and from
-	// the store; they still reach each other. Freeze stops their traffic with
-	// others, with open connections, and Silence that of the open connections
-	// for good, while new ones work. Degrade adds a jitter of Delay, and loses
-	// Share of the segments.
-	Cut     Action = "cut"
-	Freeze  Action = "freeze"
-	Silence Action = "silence"
-	Degrade Action = "degrade"
+	// Cut partitions the selected availability zones from all others and from
+	// the store; they still reach each other. Freeze stalls their traffic with
+	// others and keeps the connections open. Silence permanently stalls the
+	// connections that are open, while new ones work. Degrade adds a jitter of
+	// Delay and loses Share of the segments.
+	Cut     EventKind = "cut"
+	Freeze  EventKind = "freeze"
+	Silence EventKind = "silence"
+	Degrade EventKind = "degrade"
 
-	// Pause suspends the processes of nodes, Kill ends them at once and starts
-	// them again after For, and Watchers pauses a node that is the
-	// primary watcher of its region at the start of the event, in each region.
-	Pause    Action = "pause"
-	Kill     Action = "kill"
-	Watchers Action = "watchers"
-	// Roll restarts the selected nodes with SIGTERM, Share of them at a time,
-	// the next ones when the last ones are ready.
-	Roll Action = "roll"
+	// Pause suspends node processes. Kill terminates them with SIGKILL and
+	// starts them again after For. Watchers pauses, in each region, a node that
+	// is the primary watcher at the start of the event.
+	Pause    EventKind = "pause"
+	Kill     EventKind = "kill"
+	Watchers EventKind = "watchers"
+	// Roll is a rolling restart with SIGTERM in batches of Share of the selected
+	// nodes. A batch starts when all nodes of the previous one are ready.
+	Roll EventKind = "roll"
 
-	// Slow, Shed, Silent and Drain are behaviors of the upstreams beside the
-	// selected nodes: they take Delay longer, refuse everything, answer nothing,
-	// and announce that they leave.
-	Slow   Action = "slow"
-	Shed   Action = "shed"
-	Silent Action = "silent"
-	Drain  Action = "drain"
-	// Fail, Drop, Truncate, Surplus, Extra and Reset are behaviors that hit Share
-	// of the requests: status 500 with a good health endpoint, a run without
-	// response, a part of the response, bytes after it, the response twice, and
-	// a connection reset when slots and queue are full.
-	Fail     Action = "fail"
-	Drop     Action = "drop"
-	Truncate Action = "truncate"
-	Surplus  Action = "surplus"
-	Extra    Action = "extra"
-	Reset    Action = "reset"
+	// Slow, Shed, Silent and Drain are behaviors of the upstreams of the
+	// selected nodes: they add Delay, reject every request, do not respond, or
+	// announce that they are draining.
+	Slow   EventKind = "slow"
+	Shed   EventKind = "shed"
+	Silent EventKind = "silent"
+	Drain  EventKind = "drain"
+	// Fail, Drop, Truncate, Surplus, Extra and Reset are upstream behaviors that
+	// affect Share of the requests: status 500 while the health endpoint reports
+	// healthy, execution without a response, a truncated response, extra bytes
+	// after the response, a duplicate response, and a connection reset when
+	// slots and queue are full.
+	Fail     EventKind = "fail"
+	Drop     EventKind = "drop"
+	Truncate EventKind = "truncate"
+	Surplus  EventKind = "surplus"
+	Extra    EventKind = "extra"
+	Reset    EventKind = "reset"
 )
 
-// use says which fields an event of a kind has. Each also has at and on.
-type use struct {
-	// span, factor, every and delay are required where they are true, share
-	// is allowed.
-	span, factor, every, delay, share bool
-	// kinds says that on names kinds of requests, zones that it names
-	// availability zones or regions, and none that there is no choice.
-	kinds, zones, none bool
+// fieldRules defines the fields of an event kind. All kinds have at, and on
+// unless noSelection is set.
+type fieldRules struct {
+	// duration (the field for), factor, every and delay make the field required;
+	// share makes it optional.
+	duration, factor, every, delay, share bool
+	// selectsKinds means that on lists request kinds, selectsZones that it lists
+	// availability zones or regions, and noSelection that on is not allowed.
+	selectsKinds, selectsZones, noSelection bool
 }
 
-var actions = map[Action]use{
-	Load:     {span: true, factor: true, kinds: true},
-	Change:   {span: true, every: true},
-	Refuse:   {span: true, share: true},
-	Stall:    {span: true, share: true},
-	Lag:      {span: true, delay: true, share: true},
-	Lose:     {span: true, share: true},
-	Stale:    {span: true, share: true},
-	Cut:      {span: true, zones: true},
-	Freeze:   {span: true, zones: true},
-	Silence:  {zones: true},
-	Degrade:  {span: true, delay: true, share: true, zones: true},
-	Pause:    {span: true, share: true},
-	Kill:     {span: true, share: true},
-	Watchers: {span: true, none: true},
+var eventRules = map[EventKind]fieldRules{
+	Load:     {duration: true, factor: true, selectsKinds: true},
+	Change:   {duration: true, every: true},
+	Refuse:   {duration: true, share: true},
+	Stall:    {duration: true, share: true},
+	Lag:      {duration: true, delay: true, share: true},
+	Lose:     {duration: true, share: true},
+	Stale:    {duration: true, share: true},
+	Cut:      {duration: true, selectsZones: true},
+	Freeze:   {duration: true, selectsZones: true},
+	Silence:  {selectsZones: true},
+	Degrade:  {duration: true, delay: true, share: true, selectsZones: true},
+	Pause:    {duration: true, share: true},
+	Kill:     {duration: true, share: true},
+	Watchers: {duration: true, noSelection: true},
 	Roll:     {share: true},
-	Slow:     {span: true, delay: true, share: true},
-	Shed:     {span: true, share: true},
-	Silent:   {span: true, share: true},
-	Drain:    {span: true, share: true},
-	Fail:     {span: true, share: true},
-	Drop:     {span: true, share: true},
-	Truncate: {span: true, share: true},
-	Surplus:  {span: true, share: true},
-	Extra:    {span: true, share: true},
-	Reset:    {span: true},
+	Slow:     {duration: true, delay: true, share: true},
+	Shed:     {duration: true, share: true},
+	Silent:   {duration: true, share: true},
+	Drain:    {duration: true, share: true},
+	Fail:     {duration: true, share: true},
+	Drop:     {duration: true, share: true},
+	Truncate: {duration: true, share: true},
+	Surplus:  {duration: true, share: true},
+	Extra:    {duration: true, share: true},
+	Reset:    {duration: true},
 }
 
-// Store reports whether the event is a fault of the store.
-func (a Action) Store() bool {
-	return a == Refuse || a == Stall || a == Lag || a == Lose || a == Stale
+// IsStoreFault reports whether the event is a fault of the store.
+func (k EventKind) IsStoreFault() bool {
+	return k == Refuse || k == Stall || k == Lag || k == Lose || k == Stale
 }
 
-// Link reports whether the event is one of the network.
-func (a Action) Link() bool {
-	return a == Cut || a == Freeze || a == Silence || a == Degrade
+// IsNetworkFault reports whether the event is a network fault.
+func (k EventKind) IsNetworkFault() bool {
+	return k == Cut || k == Freeze || k == Silence || k == Degrade
 }
 
-// Upstream reports whether the event is a behavior of upstreams.
-func (a Action) Upstream() bool {
-	return a == Slow || a == Shed || a == Silent || a == Drain || a.Requests()
+// IsUpstreamBehavior reports whether the event is a behavior of upstreams.
+func (k EventKind) IsUpstreamBehavior() bool {
+	return k == Slow || k == Shed || k == Silent || k == Drain || k.IsRequestBehavior()
 }
 
-// Requests reports whether the event is a behavior of upstreams whose share is
-// that of the requests.
-func (a Action) Requests() bool {
-	return a == Fail || a == Drop || a == Truncate || a == Surplus || a == Extra || a == Reset
+// IsRequestBehavior reports whether the event is a behavior of upstreams whose
+// Share applies to requests instead of nodes.
+func (k EventKind) IsRequestBehavior() bool {
+	return k == Fail || k == Drop || k == Truncate || k == Surplus || k == Extra || k == Reset
 }
 
-// Fault reports whether the event is one to mark in plots, other than the load
-// and the changes themselves.
-func (a Action) Fault() bool { return a != Load && a != Change }
+// IsFault reports whether plots mark the event as a fault, which holds for all
+// kinds but load and settings changes.
+func (k EventKind) IsFault() bool { return k != Load && k != Change }
--- a/bench/experimenter/experimenter.go
+++ b/bench/experimenter/experimenter.go
@@ -1,5 +1,6 @@
-// Package experimenter reads experiments: a fleet, its load, the events during
-// the run, the variants to compare and the bounds that the judge checks.
+// Package experimenter parses and validates experiment files. An experiment
+// defines a fleet, its load, the events during the run, the variants to compare
+// and the bounds that the judge checks.
 package experimenter
 
 import (
@@ -8,15 +9,15 @@
 	"time"
 )
 
-// Experiment is the content of a file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
-	// Name is part of the names of the result files.
+	// Name is the prefix of the names of the result files.
 	Name string
-	// About says what the experiment shows.
+	// About describes the purpose of the experiment.
 	About string
-	// Seed fixes the random choices of callers and events.
+	// Seed initializes the random choices of callers and events.
 	Seed uint64
-	// Duration is the time of each variant after the start of its fleet.
+	// Duration is the duration of the load in each variant.
 	Duration time.Duration
 	Fleet    Fleet
 	Load     []Kind
@@ -25,83 +26,85 @@
 	Bounds   Bounds
 }
 
-// Fleet describes the processes and the network between them.
+// Fleet defines the processes and the network between them.
 type Fleet struct {
-	// Regions are names; the store is in the first one.
+	// Regions are the names of the regions. The store is in the first one.
 	Regions []string
 	// Zones is the number of availability zones in each region.
 	Zones int
-	// Nodes is the number of nodes in the fleet, each with an upstream.
+	// Nodes is the number of nodes in the fleet. Each has one upstream.
 	Nodes int
-	// Near and Far are the times from one availability zone of a region to
-	// another and back, and from one region to another and back.
-	Near, Far time.Duration
-	Services  []Service
+	// ZoneRTT and RegionRTT are the round-trip times between availability zones
+	// of a region and between regions.
+	ZoneRTT, RegionRTT time.Duration
+	Services           []Service
 }
 
-// Service is a service with the settings of its upstreams.
+// Service defines a service and the behavior of its upstreams.
 type Service struct {
 	Name string
-	// Slots is the number of requests that an upstream runs at once, Queue that
-	// of those which wait beside it.
+	// Slots is the number of requests that an upstream executes concurrently,
+	// Queue the maximum number of requests that wait for a slot.
 	Slots, Queue int
-	// Work is the time that each request takes, in addition to its kind's.
+	// Work is the execution time of each request, in addition to Kind.Work.
 	Work time.Duration
-	// Warmup is the slow start, Cold the time for which a started upstream
-	// announces itself as cold.
+	// Warmup is the slow-start period. Cold is the period after its start in
+	// which an upstream announces itself as cold.
 	Warmup, Cold time.Duration
 }
 
-// Kind is a kind of requests.
+// Kind is a request kind: requests with the same service, rate and parameters.
 type Kind struct {
 	Name    string
 	Service string
 	// Rate is in requests per second over the whole fleet.
 	Rate float64
-	// Work is the time that an upstream takes for a request.
+	// Work is the execution time of a request at the upstream.
 	Work time.Duration
-	// Objective is the latency that a request aims at, Deadline the time that
-	// its caller waits, and Timeout that of the route.
+	// Objective is the target latency, Deadline the time that the caller waits,
+	// and Timeout the timeout of the route.
 	Objective, Deadline, Timeout time.Duration
-	// Retries is the number of attempts after the first one.
+	// Retries is the maximum number of attempts after the first one.
 	Retries int
-	// Once says that a request must not run twice; Key sends an idempotency key.
-	Once, Key bool
-	// Class and Rank order the requests under overload.
+	// Once marks requests that must not be executed twice. IdempotencyKey adds
+	// an idempotency key to each request.
+	Once, IdempotencyKey bool
+	// Class and Rank are the priorities of the requests under overload.
 	Class string
 	Rank  int
-	// Body and Response are the bytes of the bodies.
+	// Body and Response are the sizes of the request and response bodies in bytes.
 	Body, Response int
-	// Hasty is the share of requests whose callers ignore Retry-After, Leaving
-	// that of those whose callers disconnect early.
-	Hasty, Leaving float64
+	// IgnoreRetryAfter is the share of requests whose callers ignore Retry-After,
+	// DisconnectEarly the share whose callers disconnect before the response.
+	IgnoreRetryAfter, DisconnectEarly float64
 }
 
-// Event is something that happens during the run.
+// Event is a change of load, settings or conditions during the run.
 type Event struct {
-	Kind Action
-	// At is the start, from the start of the load, and For the length.
+	Kind EventKind
+	// At is the offset from the start of the load, For the duration.
 	At, For time.Duration
-	// On are the names that the event applies to: kinds of requests for a change
-	// of the load, else nodes, availability zones, regions or services. All if
-	// empty.
+	// On selects what the event applies to: request kinds for a load event,
+	// otherwise nodes, availability zones, regions or services. Empty selects
+	// all.
 	On []string
-	// Share is the part of the selected nodes or of the store's calls.
+	// Share is the affected part, from 0 to 1, of the selected nodes, store
+	// calls, requests or segments.
 	Share float64
-	// Factor multiplies the load.
+	// Factor multiplies the request rate.
 	Factor float64
-	// Every is the time between the changes of operators.
+	// Every is the interval between settings changes.
 	Every time.Duration
-	// Delay is added to each request.
+	// Delay is the added latency.
 	Delay time.Duration
-	// Line is that of the event in the file.
+	// Line is the line of the event in the file.
 	Line int
 }
 
-// End returns when the event is over.
+// End returns the offset of the event's end from the start of the load.
 func (e Event) End() time.Duration { return e.At + e.For }
 
-// String names the event in reports.
+// String returns the label of the event in reports.
 func (e Event) String() string {
 	text := string(e.Kind)
 	if e.Factor > 0 {
@@ -122,35 +125,35 @@
 	return text
 }
 
-// Variant is a run with settings of its own.
+// Variant is a run of the experiment with its own node settings.
 type Variant struct {
 	Name string
-	// Settings are those of all nodes, by name, in the order of the file.
+	// Settings apply to all nodes and are in the order of the file.
 	Settings []Setting
 }
 
-// Setting is a setting of srnode.
+// Setting is a command-line setting of srnode.
 type Setting struct{ Name, Value string }
 
-// Bounds are the times within which the judge's promises of these names must
-// be kept. Zero selects the judge's own, those of the brief.
+// Bounds are the time limits of the promises with these names, which the judge
+// checks. Zero selects the judge's default.
 type Bounds struct {
 	Departure, Force, Answer, Release time.Duration
 }
 
-// Place is a node with its surroundings.
-type Place struct{ Node, Zone, Region, Service string }
+// Placement is the location and the service of a node.
+type Placement struct{ Node, Zone, Region, Service string }
 
-// Places lays out the nodes: over the availability zones in turn, with the
-// services in turn in each of them.
-func (f Fleet) Places() []Place {
-	var places []Place
+// Placements distributes the nodes round-robin over the availability zones, and
+// the services round-robin within each zone.
+func (f Fleet) Placements() []Placement {
+	var places []Placement
 	zones := len(f.Regions) * f.Zones
 	for z := range zones {
 		region := f.Regions[z/f.Zones]
 		zone := fmt.Sprintf("%s-%d", region, z%f.Zones+1)
 		for n := z; n < f.Nodes; n += zones {
-			places = append(places, Place{
+			places = append(places, Placement{
 				Node: fmt.Sprintf("%s-n%d", zone, n/zones+1), Zone: zone, Region: region,
 				Service: f.Services[(z+n/zones)%len(f.Services)].Name,
 			})
@@ -159,19 +162,20 @@
 	return places
 }
 
-// Select returns the places that one of the names denotes, all if there are no
-// names.
-func (f Fleet) Select(names []string) []Place {
-	return slices.DeleteFunc(f.Places(), func(p Place) bool {
-		return len(names) > 0 && !slices.ContainsFunc(names, p.named)
+// Select returns the placements that match any of the names, or all placements
+// if names is empty.
+func (f Fleet) Select(names []string) []Placement {
+	return slices.DeleteFunc(f.Placements(), func(p Placement) bool {
+		return len(names) > 0 && !slices.ContainsFunc(names, p.matches)
 	})
 }
 
-func (p Place) named(name string) bool {
+func (p Placement) matches(name string) bool {
 	return name == p.Node || name == p.Zone || name == p.Region || name == p.Service
 }
 
-// Capacity returns how many requests of a kind the fleet can run per second.
+// Capacity returns the number of requests of a kind that the fleet can execute
+// per second, or 0 if it is unbounded.
 func (x Experiment) Capacity(kind Kind) float64 {
 	for _, service := range x.Fleet.Services {
 		if work := kind.Work + service.Work; service.Name == kind.Service && work > 0 {
--- a/bench/experimenter/parse_test.go
+++ b/bench/experimenter/parse_test.go
@@ -11,7 +11,7 @@
 	"sycamorerun/bench/experimenter"
 )
 
-const good = `name: store-down
+const validExperiment = `name: store-down
 duration: 60s
 fleet:
   regions: [kigali, north]
@@ -34,30 +34,30 @@
 bounds: {force: 7s, departure: 2.5s, answer: 500ms}
 `
 
-// TestParse guards against a field that is read into another one, and against
-// a layout that gives an availability zone one service only.
+// TestParse guards against a value that is stored in the wrong field, and
+// against a placement with a single service per availability zone.
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	x, faults := experimenter.Parse([]byte(good))
+	x, faults := experimenter.Parse([]byte(validExperiment))
 	is.Equal(len(faults), 0)
 	is.Equal(x.Duration, time.Minute)
-	is.Equal(x.Fleet.Far, 20*time.Millisecond) // the default
+	is.Equal(x.Fleet.RegionRTT, 20*time.Millisecond) // the default
 	is.Equal(x.Bounds, experimenter.Bounds{Force: 7 * time.Second, Departure: 2500 * time.Millisecond, Answer: 500 * time.Millisecond})
 	is.Equal(x.Load[0].Rank, 1)
-	is.True(x.Load[1].Once && x.Load[1].Key)
+	is.True(x.Load[1].Once && x.Load[1].IdempotencyKey)
 	is.Equal(x.Events[2].String(), "stall on north, share 0.5")
 	is.Equal(x.Events[2].End(), 30*time.Second)
 	is.Equal(x.Variants[1].Settings[1], experimenter.Setting{Name: "keys", Value: "false"})
-	is.Equal(len(x.Fleet.Places()), 9)
+	is.Equal(len(x.Fleet.Placements()), 9)
 	is.Equal(len(x.Fleet.Select([]string{"north"})), 4)
 	is.Equal(len(x.Fleet.Select([]string{"quote-desk", "kigali-1-n1"})), 5)
-	is.Equal(x.Fleet.Places()[2], experimenter.Place{Node: "kigali-1-n3", Zone: "kigali-1", Region: "kigali", Service: "quote-desk"})
+	is.Equal(x.Fleet.Placements()[2], experimenter.Placement{Node: "kigali-1-n3", Zone: "kigali-1", Region: "kigali", Service: "quote-desk"})
 	is.Equal(x.Capacity(x.Load[0]), 3000.0) // five upstreams with six slots, 10 ms each
 	is.Equal(x.Capacity(x.Load[1]), 0.0)    // unbounded
 }
 
-// TestBadFiles guards against a faulty file that runs as something else than
-// its author wrote, and against a fault without its place.
+// TestBadFiles guards against an invalid file that is accepted with a different
+// meaning, and against a fault with a wrong line, code or path.
 func TestBadFiles(t *testing.T) {
 	cases := map[string]struct {
 		from, to string
@@ -65,8 +65,8 @@
 		wanted []string
 	}{
 		"not yaml":           {"duration: 60s", "duration: [", []string{"1 syntax "}},
-		"empty":              {good, "# nothing\n", []string{"1 syntax "}},
-		"list":               {good, "- name: a\n", []string{"1 wrong-type "}},
+		"empty":              {validExperiment, "# nothing\n", []string{"1 syntax "}},
+		"list":               {validExperiment, "- name: a\n", []string{"1 wrong-type "}},
 		"alias":              {"services:\n", "services: &s\n", []string{"7 syntax "}},
 		"two documents":      {"bounds:", "---\nbounds:", []string{"21 syntax "}},
 		"unknown field":      {"duration:", "length:", []string{"1 missing-field duration", "2 unknown-field length"}},
@@ -107,8 +107,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.True(strings.Contains(good, c.from)) // the case replaces something
-			_, faults := experimenter.Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
+			is.True(strings.Contains(validExperiment, c.from)) // the replaced text exists
+			_, faults := experimenter.Parse([]byte(strings.Replace(validExperiment, c.from, c.to, 1)))
 			var got []string
 			for _, fault := range faults {
 				is.True(fault.Reason != "")
--- a/bench/experimenter/reader.go
+++ b/bench/experimenter/reader.go
@@ -15,8 +15,7 @@
 	"sycamorerun/parser"
 )
 
-// Codes of faults. They are those of the settings files where both have the
-// fault.
+// Codes of faults. Faults that settings files can also have share their codes.
 const (
 	CodeSyntax       = parser.CodeSyntax
 	CodeUnknownField = parser.CodeUnknownField
@@ -36,19 +35,19 @@
 	numberPattern = regexp.MustCompile(`^[0-9]+(\.[0-9]+)?$`)
 )
 
-// decode reads a value from a node.
-type decode func(r *reader, node *yaml.Node, path string)
+// decodeFunc reads a value from a node and reports its faults to r.
+type decodeFunc func(r *reader, node *yaml.Node, path string)
 
-// field is a field of an object.
+// field defines how a field of an object is read.
 type field struct {
 	required bool
-	decode   decode
+	decode   decodeFunc
 }
 
-// reader collects the faults of a file.
+// reader reads the values of a file and collects its faults.
 type reader struct{ faults []sycamorerun.Fault }
 
-func (r *reader) fault(node *yaml.Node, code, path, format string, arguments ...any) {
+func (r *reader) addFault(node *yaml.Node, code, path, format string, arguments ...any) {
 	line := 0
 	if node != nil {
 		line = node.Line
@@ -64,17 +63,18 @@
 	return path + "." + name
 }
 
-// entries calls visit for each key of a mapping.
-func (r *reader) entries(node *yaml.Node, path string, visit func(key, value *yaml.Node)) bool {
+// visitEntries calls visit for each distinct key of a mapping. It reports false
+// if the node is not a mapping.
+func (r *reader) visitEntries(node *yaml.Node, path string, visit func(key, value *yaml.Node)) bool {
 	if node.Kind != yaml.MappingNode {
-		r.fault(node, CodeWrongType, path, "a mapping is needed")
+		r.addFault(node, CodeWrongType, path, "a mapping is needed")
 		return false
 	}
 	seen := map[string]bool{}
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key, value := node.Content[i], node.Content[i+1]
 		if seen[key.Value] {
-			r.fault(key, CodeDuplicate, join(path, key.Value), "the key occurs twice")
+			r.addFault(key, CodeDuplicate, join(path, key.Value), "the key occurs twice")
 			continue
 		}
 		seen[key.Value] = true
@@ -83,104 +83,105 @@
 	return true
 }
 
-// object reads a mapping with known fields.
-func (r *reader) object(node *yaml.Node, path string, fields map[string]field) {
+// readObject reads a mapping and reports unknown and missing fields.
+func (r *reader) readObject(node *yaml.Node, path string, fields map[string]field) {
 	seen := map[string]bool{}
-	known := r.entries(node, path, func(key, value *yaml.Node) {
-		known, ok := fields[key.Value]
+	isMapping := r.visitEntries(node, path, func(key, value *yaml.Node) {
+		entry, ok := fields[key.Value]
 		if !ok {
-			r.fault(key, CodeUnknownField, join(path, key.Value), "there is no such field")
+			r.addFault(key, CodeUnknownField, join(path, key.Value), "there is no such field")
 			return
 		}
 		seen[key.Value] = true
-		known.decode(r, value, join(path, key.Value))
+		entry.decode(r, value, join(path, key.Value))
 	})
-	if !known {
+	if !isMapping {
 		return
 	}
 	for name, f := range fields {
 		if f.required && !seen[name] {
-			r.fault(node, CodeMissingField, join(path, name), "the field is required")
+			r.addFault(node, CodeMissingField, join(path, name), "the field is required")
 		}
 	}
 }
 
-// each reads a mapping from names to objects of the same kind.
-func each(visit func(r *reader, name string, node *yaml.Node, path string)) decode {
+// readObjects returns a decodeFunc for a mapping from names to objects, which
+// calls visit for each entry.
+func readObjects(visit func(r *reader, name string, node *yaml.Node, path string)) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
-		r.entries(node, path, func(key, value *yaml.Node) {
+		r.visitEntries(node, path, func(key, value *yaml.Node) {
 			if !namePattern.MatchString(key.Value) {
-				r.fault(key, CodeBadName, join(path, key.Value), "a name has 1 to 40 of a-z, 0-9 and -")
+				r.addFault(key, CodeBadName, join(path, key.Value), "a name has 1 to 40 of a-z, 0-9 and -")
 			}
 			visit(r, key.Value, value, join(path, key.Value))
 		})
 	}
 }
 
-// scalar returns the text of a scalar with one of the tags.
-func (r *reader) scalar(node *yaml.Node, path, wanted string, tags ...string) (string, bool) {
+// scalar returns the text of a scalar, which must have one of the tags.
+func (r *reader) scalar(node *yaml.Node, path, expected string, tags ...string) (string, bool) {
 	if node.Kind != yaml.ScalarNode || !slices.Contains(tags, node.Tag) {
-		r.fault(node, CodeWrongType, path, "%s is needed", wanted)
+		r.addFault(node, CodeWrongType, path, "%s is needed", expected)
 		return "", false
 	}
 	return node.Value, true
 }
 
-func text(to *string) decode {
+func readText(target *string) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
-		*to, _ = r.scalar(node, path, "a text", "!!str")
+		*target, _ = r.scalar(node, path, "a text", "!!str")
 	}
 }
 
-func name(to *string) decode {
+func readName(target *string) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, ok := r.scalar(node, path, "a name", "!!str")
 		if ok && !namePattern.MatchString(value) {
-			r.fault(node, CodeBadName, path, "a name has 1 to 40 of a-z, 0-9 and -")
+			r.addFault(node, CodeBadName, path, "a name has 1 to 40 of a-z, 0-9 and -")
 		}
-		*to = value
+		*target = value
 	}
 }
 
-func names(to *[]string, least, most int) decode {
+func readNames(target *[]string, minCount, maxCount int) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
 		if node.Kind != yaml.SequenceNode {
-			r.fault(node, CodeWrongType, path, "a list of names is needed")
+			r.addFault(node, CodeWrongType, path, "a list of names is needed")
 			return
 		}
 		for i, element := range node.Content {
 			var value string
-			name(&value)(r, element, fmt.Sprintf("%s[%d]", path, i))
-			if slices.Contains(*to, value) {
-				r.fault(element, CodeDuplicate, fmt.Sprintf("%s[%d]", path, i), "%s occurs twice", value)
+			readName(&value)(r, element, fmt.Sprintf("%s[%d]", path, i))
+			if slices.Contains(*target, value) {
+				r.addFault(element, CodeDuplicate, fmt.Sprintf("%s[%d]", path, i), "%s occurs twice", value)
 			}
-			*to = append(*to, value)
+			*target = append(*target, value)
 		}
-		if len(node.Content) < least || len(node.Content) > most {
-			r.fault(node, CodeOutOfBounds, path, "%d to %d names are needed", least, most)
+		if len(node.Content) < minCount || len(node.Content) > maxCount {
+			r.addFault(node, CodeOutOfBounds, path, "%d to %d names are needed", minCount, maxCount)
 		}
 	}
 }
 
-// choice reads one of some texts.
-func choice[T ~string](to *T, values ...T) decode {
+// readChoice returns a decodeFunc for a text that must be one of the values.
+func readChoice[T ~string](target *T, values ...T) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, ok := r.scalar(node, path, "a text", "!!str")
 		if ok && !slices.Contains(values, T(value)) {
-			r.fault(node, CodeBadValue, path, "%q is not one of %v", value, values)
+			r.addFault(node, CodeBadValue, path, "%q is not one of %v", value, values)
 		}
-		*to = T(value)
+		*target = T(value)
 	}
 }
 
-func boolean(to *bool) decode {
+func readBool(target *bool) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, _ := r.scalar(node, path, "true or false", "!!bool")
-		*to = value == "true"
+		*target = value == "true"
 	}
 }
 
-func number(to *float64, least, most float64) decode {
+func readNumber(target *float64, minValue, maxValue float64) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, ok := r.scalar(node, path, "a number", "!!int", "!!float")
 		if !ok {
@@ -189,45 +190,45 @@
 		parsed, err := strconv.ParseFloat(value, 64)
 		switch {
 		case err != nil || !numberPattern.MatchString(value):
-			r.fault(node, CodeWrongType, path, "a decimal number is needed")
-		case parsed < least || parsed > most || math.IsNaN(parsed):
-			r.fault(node, CodeOutOfBounds, path, "%s is not from %g to %g", value, least, most)
+			r.addFault(node, CodeWrongType, path, "a decimal number is needed")
+		case parsed < minValue || parsed > maxValue || math.IsNaN(parsed):
+			r.addFault(node, CodeOutOfBounds, path, "%s is not from %g to %g", value, minValue, maxValue)
 		default:
-			*to = parsed
+			*target = parsed
 		}
 	}
 }
 
-func integer[T int | uint64](to *T, least, most float64) decode {
+func readInteger[T int | uint64](target *T, minValue, maxValue float64) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
 		if _, ok := r.scalar(node, path, "an integer", "!!int"); !ok {
 			return
 		}
-		value := float64(*to)
-		number(&value, least, most)(r, node, path)
-		*to = T(value)
+		value := float64(*target)
+		readNumber(&value, minValue, maxValue)(r, node, path)
+		*target = T(value)
 	}
 }
 
-// duration reads a time with a unit.
-func duration(to *time.Duration, least, most time.Duration) decode {
+// readDuration returns a decodeFunc for a duration with a unit.
+func readDuration(target *time.Duration, minValue, maxValue time.Duration) decodeFunc {
 	return func(r *reader, node *yaml.Node, path string) {
 		value, ok := r.scalar(node, path, "a time with a unit, such as 500ms,", "!!str", "!!int", "!!float")
 		if !ok {
 			return
 		}
 		if node.Tag != "!!str" {
-			r.fault(node, CodeMissingUnit, path, "%s has no unit (ms, s or m)", value)
+			r.addFault(node, CodeMissingUnit, path, "%s has no unit (ms, s or m)", value)
 			return
 		}
 		parsed, err := time.ParseDuration(value)
 		switch {
 		case err != nil || strings.ContainsAny(value, "µuh+-"):
-			r.fault(node, CodeBadValue, path, "%q is not a time such as 500ms, 1.5s or 1m", value)
-		case parsed < least || parsed > most:
-			r.fault(node, CodeOutOfBounds, path, "%s is not from %s to %s", parsed, least, most)
+			r.addFault(node, CodeBadValue, path, "%q is not a time such as 500ms, 1.5s or 1m", value)
+		case parsed < minValue || parsed > maxValue:
+			r.addFault(node, CodeOutOfBounds, path, "%s is not from %s to %s", parsed, minValue, maxValue)
 		default:
-			*to = parsed
+			*target = parsed
 		}
 	}
 }
--- a/bench/player/change.go
+++ b/bench/player/change.go
@@ -16,16 +16,17 @@
 	"sycamorerun/ctl/requester"
 )
 
-// submitPause is the time until a change is sent again.
-const submitPause = 200 * time.Millisecond
+// submitRetryDelay is the delay between submissions of the same change.
+const submitRetryDelay = 200 * time.Millisecond
 
-// write lets the operator write versions, one after the other: the next one
-// follows when the outcome of the last one is known.
-func (r *run) write(run context.Context, event experimenter.Event) {
-	ctx, cancel := context.WithDeadline(run, r.start.Add(event.End()))
+// writeVersions submits settings changes at the interval of the event. Changes
+// do not overlap: the next one is submitted after the outcome of the previous
+// one is known.
+func (r *run) writeVersions(runCtx context.Context, event experimenter.Event) {
+	ctx, cancel := context.WithDeadline(runCtx, r.start.Add(event.End()))
 	defer cancel()
 	var nodes []*deployer.Node
-	for _, place := range r.x.Fleet.Select(event.On) {
+	for _, place := range r.experiment.Fleet.Select(event.On) {
 		nodes = append(nodes, r.fleet.Node(place.Node))
 	}
 	for i, due := 0, r.start.Add(event.At); ctx.Err() == nil; i++ {
@@ -33,8 +34,9 @@
 		if ctx.Err() != nil {
 			return
 		}
-		// The outcome is awaited also after the end of the event.
-		if !r.change(run, r.order(nodes, i%len(nodes))) {
+		// Uses the context of the run, since the outcome may arrive after the end
+		// of the event.
+		if !r.writeVersion(runCtx, r.orderNodes(nodes, i%len(nodes))) {
 			return
 		}
 		for !due.After(time.Now()) {
@@ -43,63 +45,63 @@
 	}
 }
 
-// order returns the nodes from one on, those that are stopped last: a paused
-// one would only keep the operator waiting.
-func (r *run) order(nodes []*deployer.Node, first int) []*deployer.Node {
+// orderNodes returns the nodes rotated so that first leads, with stopped nodes
+// at the end, because a request to a paused node blocks until its timeout.
+func (r *run) orderNodes(nodes []*deployer.Node, first int) []*deployer.Node {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	ordered := slices.Concat(nodes[first:], nodes[:first])
 	slices.SortStableFunc(ordered, func(a, b *deployer.Node) int {
-		return min(r.down[a.Name], 1) - min(r.down[b.Name], 1)
+		return min(r.stopCounts[a.Name], 1) - min(r.stopCounts[b.Name], 1)
 	})
 	return ordered
 }
 
-// change writes one version and reports false if its outcome stays unknown:
-// a later one could then be overtaken by it.
-func (r *run) change(ctx context.Context, nodes []*deployer.Node) bool {
+// writeVersion submits one version. It reports false if the outcome remains
+// unknown, since the version could then be applied after a later one.
+func (r *run) writeVersion(ctx context.Context, nodes []*deployer.Node) bool {
 	r.mutex.Lock()
-	r.number++
-	change := Change{Node: nodes[0].Name, Number: r.number}
+	r.lastMarker++
+	change := Change{Node: nodes[0].Name, Number: r.lastMarker}
 	r.mutex.Unlock()
-	text := markerSettings(r.x, change.Number)
-	began := time.Now()
+	text := markerSettings(r.experiment, change.Number)
+	start := time.Now()
 	outcome, err := r.submit(ctx, &settings.SubmitPayload{ID: uuid.NewString(), Kind: "apply", Team: teamMarker, Settings: &text}, nodes)
-	ended := time.Now()
-	change.At, change.Accepted = r.since(began), sycamorerun.Duration(ended.Sub(began))
+	end := time.Now()
+	change.At, change.AcceptanceLatency = r.secondsSinceStart(start), sycamorerun.Duration(end.Sub(start))
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
-	case unsent(err):
-		change.Status, err = "not sent", nil // No node could be reached.
+	case notSent(err):
+		change.Status, err = "not sent", nil // No node was reachable.
 	case err != nil:
 		change.Status = "unknown: " + err.Error()
 	case outcome.Version != nil:
 		change.Status, change.Version = outcome.Status, *outcome.Version
-		r.operator.Versions = append(r.operator.Versions, judge.Version{Number: change.Number, Accepted: ended})
+		r.operator.Versions = append(r.operator.Versions, judge.Version{Number: change.Number, Accepted: end})
 	default:
 		change.Status = outcome.Status
 	}
 	r.changes = append(r.changes, change)
-	r.accepted = append(r.accepted, ended)
+	r.acceptedAt = append(r.acceptedAt, end)
 	return err == nil
 }
 
-// submit sends a change until its outcome is known or ctx ends. The id stays
-// the same, so that it is accepted once at most. A node that has just started
-// knows no operator yet, which ends a single try.
+// submit sends a change until its outcome is known or ctx ends. All attempts
+// use the same ID, so that the change is accepted at most once. A node that has
+// just started rejects an attempt because it does not know the operators yet.
 func (r *run) submit(ctx context.Context, payload *settings.SubmitPayload, nodes []*deployer.Node) (*settings.Outcome, error) {
 	for {
 		outcome, err := r.fleet.Change(ctx, teamMarker, payload, nodes...)
-		if err == nil || unsent(err) || ctx.Err() != nil {
+		if err == nil || notSent(err) || ctx.Err() != nil {
 			return outcome, err
 		}
-		deployer.Pause(ctx, submitPause)
+		deployer.Pause(ctx, submitRetryDelay)
 	}
 }
 
-// unsent reports whether a change failed because no node could be reached.
-func unsent(err error) bool {
+// notSent reports whether a change failed because no node was reachable.
+func notSent(err error) bool {
 	var failure *requester.Failure
 	return errors.As(err, &failure) && !failure.Sent
 }
--- a/bench/player/event.go
+++ b/bench/player/event.go
@@ -15,113 +15,114 @@
 	"sycamorerun/bench/scraper"
 )
 
-// primaryWatch is the value of the metric on a region's primary watcher.
+// primaryWatch is the value of the metric sycamorerun_distributor_watch at a
+// region's primary watcher.
 const primaryWatch = 2
 
-// rule is a fault of the store, as its fault plan has it.
-type rule struct {
+// storeRule is a rule in the fault plan of the store.
+type storeRule struct {
 	Kind     string               `json:"kind"`
 	Caller   string               `json:"caller,omitempty"`
 	Fraction float64              `json:"fraction,omitempty"`
 	Delay    sycamorerun.Duration `json:"delay,omitempty"`
 }
 
-// event plays one event. Run ends with the run, ctx when everything is given
-// up: what was stopped is started again also after the run.
-func (r *run) event(ctx, run context.Context, number int, event experimenter.Event) {
-	deployer.Pause(run, time.Until(r.start.Add(event.At)))
-	if run.Err() != nil {
+// playEvent plays one event. It stops waiting when runCtx ends with the run.
+// Restoring the original state uses ctx, so that it also works after the run.
+func (r *run) playEvent(ctx, runCtx context.Context, number int, event experimenter.Event) {
+	deployer.Pause(runCtx, time.Until(r.start.Add(event.At)))
+	if runCtx.Err() != nil {
 		return
 	}
 	from := time.Now()
-	over := time.Until(r.start.Add(event.At + span(r.x, event)))
+	remaining := time.Until(r.start.Add(event.At + eventDuration(r.experiment, event)))
 	switch {
 	case event.Kind == experimenter.Load:
-		deployer.Pause(run, over) // The callers know it.
+		deployer.Pause(runCtx, remaining) // The callers apply load events themselves.
 	case event.Kind == experimenter.Change:
-		r.write(run, event)
+		r.writeVersions(runCtx, event)
 		return
-	case event.Kind.Store():
-		r.fail(r.storeFault(ctx, number, event, true))
-		deployer.Pause(run, over)
-		r.fail(r.storeFault(ctx, number, event, false))
+	case event.Kind.IsStoreFault():
+		r.recordFailure(r.setStoreFault(ctx, number, event, true))
+		deployer.Pause(runCtx, remaining)
+		r.recordFailure(r.setStoreFault(ctx, number, event, false))
 	case event.Kind == experimenter.Silence:
-		inside, _ := r.sides(event)
+		inside, _ := r.splitZones(event)
 		r.fleet.Silence(inside...)
-		r.fault(from, r.selected(number, event)...)
-	case event.Kind.Link():
-		r.link(number, event, true)
-		deployer.Pause(run, over)
-		r.link(number, event, false)
-		r.fault(from, r.selected(number, event)...)
-	case event.Kind.Upstream():
-		r.behave(ctx, number, event, true)
-		deployer.Pause(run, over)
-		r.behave(ctx, number, event, false)
-		if event.Kind.Requests() || event.Kind == experimenter.Silent {
-			r.faultUpstreams(from, r.selected(number, event)...)
+		r.recordFaults(from, r.selectNodes(number, event)...)
+	case event.Kind.IsNetworkFault():
+		r.setNetworkEvent(number, event, true)
+		deployer.Pause(runCtx, remaining)
+		r.setNetworkEvent(number, event, false)
+		r.recordFaults(from, r.selectNodes(number, event)...)
+	case event.Kind.IsUpstreamBehavior():
+		r.setBehavior(ctx, number, event, true)
+		deployer.Pause(runCtx, remaining)
+		r.setBehavior(ctx, number, event, false)
+		if event.Kind.IsRequestBehavior() || event.Kind == experimenter.Silent {
+			r.recordUpstreamFaults(from, r.selectNodes(number, event)...)
 		}
 	default:
-		r.processes(ctx, run, number, event, over)
+		r.playProcessEvent(ctx, runCtx, number, event, remaining)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.marks = append(r.marks, Mark{Label: event.String(), From: r.since(from), To: r.since(time.Now()), Fault: event.Kind.Fault()})
+	r.marks = append(r.marks, Mark{Label: event.String(), From: r.secondsSinceStart(from), To: r.secondsSinceStart(time.Now()), Fault: event.Kind.IsFault()})
 }
 
-// processes plays an event that pauses or ends processes.
-func (r *run) processes(ctx, run context.Context, number int, event experimenter.Event, over time.Duration) {
+// playProcessEvent plays an event that pauses or terminates processes.
+func (r *run) playProcessEvent(ctx, runCtx context.Context, number int, event experimenter.Event, duration time.Duration) {
 	from := time.Now()
-	nodes := r.selected(number, event)
+	nodes := r.selectNodes(number, event)
 	switch event.Kind {
 	case experimenter.Watchers:
-		r.suspend(run, r.watchers(ctx), over)
+		r.suspend(runCtx, r.primaryWatchers(ctx), duration)
 	case experimenter.Pause:
-		r.suspend(run, nodes, over)
+		r.suspend(runCtx, nodes, duration)
 	case experimenter.Kill:
-		defer r.stopped(nodes...)()
-		each(nodes, func(node *deployer.Node) { node.Process.Kill() })
-		deployer.Pause(run, over)
-		each(nodes, func(node *deployer.Node) { r.fail(r.fleet.StartNode(ctx, node)) })
-		r.fail(r.fleet.WaitReady(ctx, nodes...))
-		r.fault(from, nodes...)
+		defer r.markStopped(nodes...)()
+		forEachNode(nodes, func(node *deployer.Node) { node.Process.Kill() })
+		deployer.Pause(runCtx, duration)
+		forEachNode(nodes, func(node *deployer.Node) { r.recordFailure(r.fleet.StartNode(ctx, node)) })
+		r.recordFailure(r.fleet.WaitReady(ctx, nodes...))
+		r.recordFaults(from, nodes...)
 	case experimenter.Roll:
-		r.roll(ctx, run, nodes, max(event.Share, 1/float64(len(nodes))))
+		r.rollingRestart(ctx, runCtx, nodes, max(event.Share, 1/float64(len(nodes))))
 	}
 }
 
-// suspend pauses the processes of nodes for a time.
-func (r *run) suspend(run context.Context, nodes []*deployer.Node, over time.Duration) {
-	defer r.stopped(nodes...)()
+// suspend pauses the processes of nodes for a duration.
+func (r *run) suspend(runCtx context.Context, nodes []*deployer.Node, duration time.Duration) {
+	defer r.markStopped(nodes...)()
 	from := time.Now()
 	for _, node := range nodes {
-		r.fail(node.Process.Signal(syscall.SIGSTOP))
+		r.recordFailure(node.Process.Signal(syscall.SIGSTOP))
 	}
-	deployer.Pause(run, over)
+	deployer.Pause(runCtx, duration)
 	for _, node := range nodes {
-		r.fail(node.Process.Signal(syscall.SIGCONT))
+		r.recordFailure(node.Process.Signal(syscall.SIGCONT))
 	}
-	r.fault(from, nodes...)
+	r.recordFaults(from, nodes...)
 }
 
-// roll restarts nodes with SIGTERM, a share of them at a time.
-func (r *run) roll(ctx, run context.Context, nodes []*deployer.Node, share float64) {
-	size := part(share, len(nodes))
-	for len(nodes) > 0 && run.Err() == nil {
+// rollingRestart restarts nodes with SIGTERM in batches of a share of them.
+func (r *run) rollingRestart(ctx, runCtx context.Context, nodes []*deployer.Node, share float64) {
+	size := shareOf(share, len(nodes))
+	for len(nodes) > 0 && runCtx.Err() == nil {
 		group := nodes[:min(size, len(nodes))]
 		nodes = nodes[len(group):]
-		each(group, func(node *deployer.Node) {
-			defer r.stopped(node)()
+		forEachNode(group, func(node *deployer.Node) {
+			defer r.markStopped(node)()
 			from := time.Now()
 			node.Process.Stop()
 			r.mutex.Lock()
 			r.operator.Stops = append(r.operator.Stops, judge.Span{Node: node.Name, From: from, To: time.Now()})
 			r.mutex.Unlock()
 			from = time.Now()
-			r.fail(r.fleet.StartNode(ctx, node))
-			r.fail(r.fleet.WaitReady(ctx, node))
-			// This is no fault for the judge: it would excuse what the end of the
-			// process interrupted.
+			r.recordFailure(r.fleet.StartNode(ctx, node))
+			r.recordFailure(r.fleet.WaitReady(ctx, node))
+			// Restarts are not passed to the judge as faults: that would excuse
+			// calls that the end of the process interrupted.
 			r.mutex.Lock()
 			defer r.mutex.Unlock()
 			r.restarts = append(r.restarts, judge.Span{Node: node.Name, From: from, To: time.Now()})
@@ -129,29 +130,29 @@
 	}
 }
 
-// stopped notes that the processes of nodes are stopped, until the returned
+// markStopped marks the processes of nodes as stopped until the returned
 // function is called.
-func (r *run) stopped(nodes ...*deployer.Node) (started func()) {
-	count := func(change int) {
+func (r *run) markStopped(nodes ...*deployer.Node) (markStarted func()) {
+	count := func(delta int) {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
 		for _, node := range nodes {
-			r.down[node.Name] += change
+			r.stopCounts[node.Name] += delta
 		}
 	}
 	count(1)
 	return func() { count(-1) }
 }
 
-// watchers returns a primary watcher of each region at the moment. In the mode
-// poll every node is one.
-func (r *run) watchers(ctx context.Context) []*deployer.Node {
+// primaryWatchers returns one current primary watcher for each region. In the
+// mode poll every node is a primary watcher.
+func (r *run) primaryWatchers(ctx context.Context) []*deployer.Node {
 	var found []*deployer.Node
 	regions := map[string]bool{}
 	for _, node := range r.fleet.Nodes {
 		samples, err := scraper.Scrape(ctx, node.Operators)
-		watches := err == nil && scraper.Sum(samples, "sycamorerun_distributor_watch") == primaryWatch
-		if watches && !regions[node.Zone.Region] {
+		primary := err == nil && scraper.Sum(samples, "sycamorerun_distributor_watch") == primaryWatch
+		if primary && !regions[node.Zone.Region] {
 			regions[node.Zone.Region] = true
 			found = append(found, node)
 		}
@@ -159,8 +160,8 @@
 	return found
 }
 
-// fault notes that nodes had a fault from a time until now.
-func (r *run) fault(from time.Time, nodes ...*deployer.Node) {
+// recordFaults records that nodes had a fault from a time until now.
+func (r *run) recordFaults(from time.Time, nodes ...*deployer.Node) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, node := range nodes {
@@ -168,9 +169,9 @@
 	}
 }
 
-// faultUpstreams notes that the upstreams beside nodes misbehaved from a time
-// until now.
-func (r *run) faultUpstreams(from time.Time, nodes ...*deployer.Node) {
+// recordUpstreamFaults records that the upstreams of nodes had a fault from a
+// time until now.
+func (r *run) recordUpstreamFaults(from time.Time, nodes ...*deployer.Node) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, node := range nodes {
@@ -178,52 +179,53 @@
 	}
 }
 
-// storeFault adds the rules of an event to the store's fault plan or removes
+// setStoreFault adds the rules of an event to the store's fault plan, or removes
 // them.
-func (r *run) storeFault(ctx context.Context, number int, event experimenter.Event, begin bool) error {
+func (r *run) setStoreFault(ctx context.Context, number int, event experimenter.Event, active bool) error {
 	r.mutex.Lock()
-	delete(r.faults, number)
-	if begin {
-		one := rule{Kind: storeKind(event.Kind), Fraction: event.Share, Delay: sycamorerun.Duration(event.Delay)}
+	delete(r.storeRules, number)
+	if active {
+		rule := storeRule{Kind: storeRuleKind(event.Kind), Fraction: event.Share, Delay: sycamorerun.Duration(event.Delay)}
 		if len(event.On) == 0 {
-			r.faults[number] = []rule{one}
+			r.storeRules[number] = []storeRule{rule}
 		}
-		for _, place := range r.x.Fleet.Select(event.On) {
+		for _, place := range r.experiment.Fleet.Select(event.On) {
 			if len(event.On) > 0 {
-				one.Caller = place.Node
-				r.faults[number] = append(r.faults[number], one)
+				rule.Caller = place.Node
+				r.storeRules[number] = append(r.storeRules[number], rule)
 			}
 		}
 	}
-	rules := []rule{}
-	for _, some := range r.faults {
-		rules = append(rules, some...)
+	rules := []storeRule{}
+	for _, eventRules := range r.storeRules {
+		rules = append(rules, eventRules...)
 	}
 	r.mutex.Unlock()
-	return r.fleet.StoreFaults(ctx, map[string][]rule{"rules": rules})
+	return r.fleet.StoreFaults(ctx, map[string][]storeRule{"rules": rules})
 }
 
-// storeKind returns the store's name of a fault.
-func storeKind(action experimenter.Action) string {
-	if action == experimenter.Lag {
+// storeRuleKind returns the kind of store rule for an event kind.
+func storeRuleKind(kind experimenter.EventKind) string {
+	if kind == experimenter.Lag {
 		return "delay"
 	}
-	return string(action)
+	return string(kind)
 }
 
-// link begins or ends an event of the network. The others that are in force
-// stay, but links are whole for a moment.
-func (r *run) link(number int, event experimenter.Event, begin bool) {
+// setNetworkEvent starts or ends a network event. Ending an event heals all
+// links and then reapplies the other active events, so links are briefly
+// without faults.
+func (r *run) setNetworkEvent(number int, event experimenter.Event, active bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if begin {
-		r.links[number] = event
+	if active {
+		r.networkEvents[number] = event
 	} else {
-		delete(r.links, number)
+		delete(r.networkEvents, number)
 		r.fleet.Heal()
 	}
-	for _, event := range r.links {
-		inside, outside := r.sides(event)
+	for _, event := range r.networkEvents {
+		inside, outside := r.splitZones(event)
 		switch event.Kind {
 		case experimenter.Freeze:
 			r.fleet.Freeze(inside...)
@@ -235,14 +237,15 @@
 	}
 }
 
-// sides returns the availability zones that an event selects, and the others.
-func (r *run) sides(event experimenter.Event) (inside, outside []string) {
-	in := map[string]bool{}
-	for _, place := range r.x.Fleet.Select(event.On) {
-		in[place.Zone] = true
+// splitZones returns the availability zones that an event selects, and the
+// others.
+func (r *run) splitZones(event experimenter.Event) (inside, outside []string) {
+	selected := map[string]bool{}
+	for _, place := range r.experiment.Fleet.Select(event.On) {
+		selected[place.Zone] = true
 	}
 	for _, zone := range r.fleet.Spec.Zones {
-		if in[zone.Name] {
+		if selected[zone.Name] {
 			inside = append(inside, zone.Name)
 		} else {
 			outside = append(outside, zone.Name)
@@ -251,44 +254,44 @@
 	return inside, outside
 }
 
-// behave begins or ends a behavior of upstreams.
-func (r *run) behave(ctx context.Context, number int, event experimenter.Event, begin bool) {
+// setBehavior starts or ends a behavior of upstreams.
+func (r *run) setBehavior(ctx context.Context, number int, event experimenter.Event, active bool) {
 	change := map[string]any{}
 	switch event.Kind {
 	case experimenter.Slow:
 		change["delay"] = 0
-		if begin {
+		if active {
 			change["delay"] = event.Delay.Milliseconds()
 		}
 	case experimenter.Drain:
 		change["state"] = sycamorerun.StateReady
-		if begin {
+		if active {
 			change["state"] = sycamorerun.StateDraining
 		}
 	case experimenter.Shed, experimenter.Silent, experimenter.Reset:
-		change[string(event.Kind)] = begin
+		change[string(event.Kind)] = active
 	default:
 		share := 0.0
-		if begin {
+		if active {
 			share = cmp.Or(event.Share, 1)
 		}
 		change[requestBehavior(event.Kind)] = share
 	}
-	each(r.selected(number, event), func(node *deployer.Node) {
-		r.fail(deployer.Put(ctx, node.Control, "/behavior", change))
+	forEachNode(r.selectNodes(number, event), func(node *deployer.Node) {
+		r.recordFailure(deployer.Put(ctx, node.Control, "/behavior", change))
 	})
 }
 
-// requestBehavior returns the upstream's name of a behavior.
-func requestBehavior(action experimenter.Action) string {
-	if action == experimenter.Drop {
+// requestBehavior returns the upstream's name of the behavior of an event kind.
+func requestBehavior(kind experimenter.EventKind) string {
+	if kind == experimenter.Drop {
 		return "lose"
 	}
-	return string(action)
+	return string(kind)
 }
 
-// each calls do for all nodes at once and waits.
-func each(nodes []*deployer.Node, do func(node *deployer.Node)) {
+// forEachNode calls do concurrently for all nodes and waits for the calls.
+func forEachNode(nodes []*deployer.Node, do func(node *deployer.Node)) {
 	var group sync.WaitGroup
 	for _, node := range nodes {
 		group.Go(func() { do(node) })
@@ -296,7 +299,8 @@
 	group.Wait()
 }
 
-// shuffle orders nodes by a seed and the number of the event.
+// shuffle shuffles nodes in an order that depends only on the seed and the
+// number of the event.
 func shuffle(seed uint64, number int, nodes []*deployer.Node) {
 	random := rand.New(rand.NewPCG(seed, uint64(number)))
 	random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
--- a/bench/player/player.go
+++ b/bench/player/player.go
@@ -1,5 +1,5 @@
-// Package player plays experiments on fleets of real processes and collects
-// what callers, operators and the store see.
+// Package player runs experiments on fleets of real processes. It collects the
+// records of callers, operators, upstreams and the store, and has them judged.
 package player
 
 import (
@@ -27,89 +27,93 @@
 )
 
 const (
-	// readyLimit bounds the time until every node reaches every service.
-	readyLimit = 20 * time.Second
-	// settle is the time before the load in which the start's traffic ends.
-	settle = 2 * time.Second
-	// release is the time after the load in which upstreams may still end work.
-	release = time.Second
-	// mostFindings bounds the findings that a result lists.
-	mostFindings = 50
-	// markerRate is the rate in requests per second of the requests that read
-	// the version in force, at each node.
+	// readyTimeout is the timeout for every node to reach every service.
+	readyTimeout = 20 * time.Second
+	// settleTime is the delay before the load, in which start-up traffic ends.
+	settleTime = 2 * time.Second
+	// releaseTime is the delay after the load, in which upstreams may still
+	// finish executions.
+	releaseTime = time.Second
+	// maxFindings is the maximum number of findings that a result lists.
+	maxFindings = 50
+	// markerRate is the rate, in requests per second and node, of the requests
+	// that read the version in force.
 	markerRate = 1
 )
 
-// Player plays experiments. Set the fields before Play.
+// Player runs experiments. Its fields must be set before Play is called.
 type Player struct {
-	// Binaries is the directory of the programs, Directory the one for logs.
+	// Binaries is the directory of the programs, Directory the directory for
+	// logs.
 	Binaries, Directory string
-	// Progress gets a line for each step.
+	// Progress receives a line for each step.
 	Progress io.Writer
 }
 
-// Play runs all variants of an experiment one after the other.
-func (p *Player) Play(ctx context.Context, x experimenter.Experiment) (Result, error) {
+// Play runs all variants of an experiment sequentially.
+func (p *Player) Play(ctx context.Context, experiment experimenter.Experiment) (Result, error) {
 	result := Result{
-		Name: x.Name, About: x.About, Seed: x.Seed, Began: time.Now(), Units: Units,
-		Duration: sycamorerun.Duration(x.Duration), Kinds: kindNames(x),
+		Name: experiment.Name, About: experiment.About, Seed: experiment.Seed, StartedAt: time.Now(), Units: Units,
+		Duration: sycamorerun.Duration(experiment.Duration), Kinds: kindNames(experiment),
 	}
-	for _, variant := range x.Variants {
-		played, err := p.variant(ctx, x, variant)
+	for _, variant := range experiment.Variants {
+		variantResult, err := p.playVariant(ctx, experiment, variant)
 		if err != nil {
-			return result, errors.Wrapf(err, "%s, variant %s", x.Name, variant.Name)
+			return result, errors.Wrapf(err, "%s, variant %s", experiment.Name, variant.Name)
 		}
-		result.Variants = append(result.Variants, played)
+		result.Variants = append(result.Variants, variantResult)
 	}
 	return result, nil
 }
 
-func (p *Player) progress(format string, arguments ...any) {
+func (p *Player) progressf(format string, arguments ...any) {
 	fmt.Fprintf(p.Progress, format+"\n", arguments...)
 }
 
-// run is a variant in progress.
+// run is the state of a running variant.
 type run struct {
-	x     experimenter.Experiment
-	fleet *deployer.Fleet
-	load  *caller.Caller
-	start time.Time
+	experiment experimenter.Experiment
+	fleet      *deployer.Fleet
+	load       *caller.Caller
+	start      time.Time
 
 	mutex    sync.Mutex
 	operator judge.Operator
 	marks    []Mark
 	changes  []Change
-	// accepted are the times of acceptance of the changes.
-	accepted []time.Time
-	failures []error
-	// number is the marker of the last change.
-	number int
-	// faults are the store's rules in force and links the network's, by event.
-	faults map[int][]rule
-	links  map[int]experimenter.Event
-	// down counts the events that stop the process of a node at the moment.
-	down map[string]int
-	// restarts are the times in which no process ran after a planned stop.
+	// acceptedAt has the time at which the outcome of each change was known, in
+	// the order of changes.
+	acceptedAt []time.Time
+	failures   []error
+	// lastMarker is the number of the last submitted version.
+	lastMarker int
+	// storeRules are the active store rules and networkEvents the active network
+	// events, by the number of the event.
+	storeRules    map[int][]storeRule
+	networkEvents map[int]experimenter.Event
+	// stopCounts is the number of active events that stop the process, by node.
+	stopCounts map[string]int
+	// restarts are the periods from a planned stop until the node is ready again.
 	restarts []judge.Span
 }
 
-// variant starts a fleet, plays one variant on it and judges it.
-func (p *Player) variant(ctx context.Context, x experimenter.Experiment, v experimenter.Variant) (Variant, error) {
-	directory := filepath.Join(p.Directory, x.Name+"-"+v.Name+"-logs")
+// playVariant starts a fleet, runs one variant on it and judges the records.
+func (p *Player) playVariant(ctx context.Context, experiment experimenter.Experiment, variant experimenter.Variant) (Variant, error) {
+	directory := filepath.Join(p.Directory, experiment.Name+"-"+variant.Name+"-logs")
 	if err := os.RemoveAll(directory); err != nil {
-		return Variant{}, errors.Wrap(err, "clear the logs")
+		return Variant{}, errors.Wrap(err, "remove old logs")
 	}
 	if err := os.MkdirAll(directory, 0o755); err != nil {
-		return Variant{}, errors.Wrap(err, "make a directory")
+		return Variant{}, errors.Wrap(err, "create the log directory")
 	}
-	fleet, err := deployer.New(spec(x, v, p.Binaries, directory))
+	fleet, err := deployer.New(fleetSpec(experiment, variant, p.Binaries, directory))
 	if err != nil {
 		return Variant{}, err
 	}
 	defer fleet.Stop()
-	result := Variant{Name: v.Name, Settings: v.Settings, Before: loadAverage()}
-	p.progress("%s, variant %s: start of %d nodes, load average %.2f", x.Name, v.Name, x.Fleet.Nodes, result.Before)
-	r := &run{x: x, fleet: fleet, faults: map[int][]rule{}, links: map[int]experimenter.Event{}, down: map[string]int{}}
+	result := Variant{Name: variant.Name, Settings: variant.Settings, LoadBefore: loadAverage()}
+	p.progressf("%s, variant %s: start of %d nodes, load average %.2f", experiment.Name, variant.Name, experiment.Fleet.Nodes, result.LoadBefore)
+	r := &run{experiment: experiment, fleet: fleet, storeRules: map[int][]storeRule{}, networkEvents: map[int]experimenter.Event{}, stopCounts: map[string]int{}}
 	if err := r.prepare(ctx); err != nil {
 		return result, err
 	}
@@ -119,12 +123,12 @@
 	if err := r.finish(ctx, &result); err != nil {
 		return result, err
 	}
-	result.After = loadAverage()
+	result.LoadAfter = loadAverage()
 	total := 0
-	for _, count := range result.Broken {
+	for _, count := range result.BrokenPromises {
 		total += count
 	}
-	p.progress("%s, variant %s: %d attempts judged, %d findings, load average %.2f", x.Name, v.Name, result.Attempts, total, result.After)
+	p.progressf("%s, variant %s: %d attempts judged, %d findings, load average %.2f", experiment.Name, variant.Name, result.Attempts, total, result.LoadAfter)
 	if total > 0 {
 		result.Logs = directory
 		return result, nil
@@ -133,8 +137,8 @@
 	return result, errors.Wrap(os.RemoveAll(directory), "remove the logs")
 }
 
-// prepare starts the fleet with the settings of the experiment in force, and
-// waits until every node reaches every service.
+// prepare starts the fleet, applies the settings of the experiment, and waits
+// until every node reaches every service.
 func (r *run) prepare(ctx context.Context) error {
 	if err := r.fleet.Start(ctx); err != nil {
 		return err
@@ -142,8 +146,9 @@
 	if err := r.fleet.Teams(ctx, map[string]string{teamLoad: "flow", teamMarker: "flow"}); err != nil {
 		return err
 	}
-	// The marker's route refers to a service of the load.
-	for _, file := range []struct{ team, text string }{{teamLoad, loadSettings(r.x)}, {teamMarker, markerSettings(r.x, 1)}} {
+	// The load settings come first, since the marker's route refers to a service
+	// that they define.
+	for _, file := range []struct{ team, text string }{{teamLoad, loadSettings(r.experiment)}, {teamMarker, markerSettings(r.experiment, 1)}} {
 		outcome, err := r.fleet.Apply(ctx, file.team, file.team, file.text, r.fleet.Nodes[0])
 		if err != nil {
 			return err
@@ -153,21 +158,21 @@
 			for _, fault := range outcome.Faults {
 				reason += fmt.Sprintf("; %s: %s", fault.Path, fault.Reason)
 			}
-			return errors.Errorf("settings of %s: %s%s", file.team, outcome.Status, reason)
+			return errors.Errorf("settings of team %s not accepted: status %s%s", file.team, outcome.Status, reason)
 		}
 	}
-	r.number = 1
+	r.lastMarker = 1
 	r.operator.Versions = []judge.Version{{Number: 1, Accepted: time.Now()}}
 	var probes []generator.Target
 	for _, node := range r.fleet.Nodes {
-		for _, kind := range append(kindNames(r.x), experimenter.Marker) {
+		for _, kind := range append(kindNames(r.experiment), experimenter.MarkerKind) {
 			probes = append(probes, generator.Target{
-				Name: node.Name, Address: node.Callers, Method: http.MethodPost, Host: host(kind), Path: "/",
-				Rate: 1, Timeout: readyLimit,
+				Name: node.Name, Address: node.Callers, Method: http.MethodPost, Host: hostName(kind), Path: "/",
+				Rate: 1, Timeout: readyTimeout,
 			})
 		}
 	}
-	err := deployer.Eventually(ctx, readyLimit, func() bool {
+	err := deployer.Eventually(ctx, readyTimeout, func() bool {
 		for _, result := range generator.Run(ctx, probes, time.Millisecond) {
 			if result.Results[sycamorerun.Answered] != result.Calls() {
 				return false
@@ -176,38 +181,39 @@
 		return true
 	})
 	if err != nil {
-		return errors.Wrap(err, "a node does not reach a service")
+		return errors.Wrap(err, "wait for every node to reach every service")
 	}
-	deployer.Pause(ctx, settle)
+	deployer.Pause(ctx, settleTime)
 	return ctx.Err()
 }
 
-// play runs load, events and sampling, and waits for their end.
+// play runs the load, the events and the sampling, and waits until all of them
+// end.
 func (r *run) play(ctx context.Context, result *Variant) error {
-	r.load = r.callers()
+	r.load = r.newCaller()
 	sampler := newSampler(r.fleet)
 	r.start = time.Now()
-	events, cancel := context.WithDeadline(ctx, r.start.Add(r.x.Duration))
+	runCtx, cancel := context.WithDeadline(ctx, r.start.Add(r.experiment.Duration))
 	defer cancel()
 	var group sync.WaitGroup
-	for i, event := range r.x.Events {
-		group.Go(func() { r.event(ctx, events, i, event) })
+	for i, event := range r.experiment.Events {
+		group.Go(func() { r.playEvent(ctx, runCtx, i, event) })
 	}
 	var samples []Sample
-	group.Go(func() { samples = sampler.run(ctx, r.start, r.x.Duration) })
-	err := r.load.Run(ctx, r.x.Duration)
+	group.Go(func() { samples = sampler.run(ctx, r.start, r.experiment.Duration) })
+	err := r.load.Run(ctx, r.experiment.Duration)
 	group.Wait()
 	result.Samples = samples
 	if err == nil && len(r.failures) > 0 {
 		err = r.failures[0]
 	}
-	return errors.Wrap(err, "play")
+	return errors.Wrap(err, "play the experiment")
 }
 
 // finish collects the records and judges them.
 func (r *run) finish(ctx context.Context, result *Variant) error {
-	deployer.Pause(ctx, release)
-	r.converged(ctx)
+	deployer.Pause(ctx, releaseTime)
+	r.recordConvergence(ctx)
 	var journals [][]recorder.Event
 	for _, node := range r.fleet.Nodes {
 		journal, err := r.fleet.Events(node)
@@ -224,52 +230,52 @@
 		r.operator.Stalls = append(r.operator.Stalls, judge.Span{From: stall.From, To: stall.To})
 		result.Stalled += sycamorerun.Duration(stall.To.Sub(stall.From))
 	}
-	result.Findings = judge.Judge(records, journals, r.operator, bounds(r.x.Bounds))
-	result.Broken = judge.Count(result.Findings)
-	result.Findings = result.Findings[:min(len(result.Findings), mostFindings)]
-	kinds := kindNames(r.x)
+	result.Findings = judge.Judge(records, journals, r.operator, judgeBounds(r.experiment.Bounds))
+	result.BrokenPromises = judge.Count(result.Findings)
+	result.Findings = result.Findings[:min(len(result.Findings), maxFindings)]
+	kinds := kindNames(r.experiment)
 	for i := range result.Samples {
 		from := r.start.Add(time.Duration(i) * time.Second)
 		result.Samples[i].Kinds = summarize(kinds, records, from, from.Add(time.Second))
 	}
-	result.Kinds = summarize(kinds, records, r.start, r.start.Add(r.x.Duration))
-	result.Phases = phases(r.x, records, r.start)
+	result.Kinds = summarize(kinds, records, r.start, r.start.Add(r.experiment.Duration))
+	result.Phases = phases(r.experiment, records, r.start)
 	sortMarks(r.marks)
 	result.Marks, result.Changes = r.marks, r.changes
 	return nil
 }
 
-// converged waits until the last accepted versions are in force and notes when
-// each node applied each version.
-func (r *run) converged(ctx context.Context) {
+// recordConvergence waits until all nodes have applied each accepted version,
+// and records the convergence times.
+func (r *run) recordConvergence(ctx context.Context) {
 	var names []string
 	for _, node := range r.fleet.Nodes {
 		names = append(names, node.Name)
 	}
-	limit := bounds(r.x.Bounds).Force
+	timeout := judgeBounds(r.experiment.Bounds).Force
 	for i := range r.changes {
 		change := &r.changes[i]
 		if change.Version == 0 {
 			continue
 		}
-		// A version that is late shows in Missing.
-		_ = deployer.Eventually(ctx, limit, func() bool { return len(r.fleet.Observer.Times(change.Version)) >= len(names) })
-		change.converge(r.accepted[i], r.fleet.Observer.Times(change.Version), names, r.faulty)
+		// A timeout is reported in Change.Missing.
+		_ = deployer.Eventually(ctx, timeout, func() bool { return len(r.fleet.Observer.Times(change.Version)) >= len(names) })
+		change.setConvergence(r.acceptedAt[i], r.fleet.Observer.Times(change.Version), names, r.hadFault)
 	}
 }
 
-// faulty reports whether a node had a fault in a span.
-func (r *run) faulty(node string, from, to time.Time) bool {
+// hadFault reports whether a node had a fault or a restart in a span.
+func (r *run) hadFault(node string, from, to time.Time) bool {
 	return slices.ContainsFunc(slices.Concat(r.operator.Faults, r.restarts), func(fault judge.Span) bool {
 		return fault.Node == node && !fault.Upstream && fault.From.Before(to) && fault.To.After(from)
 	})
 }
 
-// since returns the seconds from the start of the load.
-func (r *run) since(at time.Time) float64 { return at.Sub(r.start).Seconds() }
+// secondsSinceStart returns the offset from the start of the load in seconds.
+func (r *run) secondsSinceStart(at time.Time) float64 { return at.Sub(r.start).Seconds() }
 
-// fail notes an error that makes the run worthless.
-func (r *run) fail(err error) {
+// recordFailure records an error that invalidates the run. It ignores nil.
+func (r *run) recordFailure(err error) {
 	if err == nil {
 		return
 	}
@@ -278,21 +284,22 @@
 	r.failures = append(r.failures, err)
 }
 
-// bounds returns the judge's bounds with those of the experiment.
-func bounds(own experimenter.Bounds) judge.Bounds {
-	all := judge.DefaultBounds
-	for to, value := range map[*time.Duration]time.Duration{
-		&all.Departure: own.Departure, &all.Force: own.Force, &all.Answer: own.Answer, &all.Release: own.Release,
+// judgeBounds returns the judge's default bounds, overridden by those of the
+// experiment.
+func judgeBounds(overrides experimenter.Bounds) judge.Bounds {
+	merged := judge.DefaultBounds
+	for target, value := range map[*time.Duration]time.Duration{
+		&merged.Departure: overrides.Departure, &merged.Force: overrides.Force, &merged.Answer: overrides.Answer, &merged.Release: overrides.Release,
 	} {
 		if value > 0 {
-			*to = value
+			*target = value
 		}
 	}
-	return all
+	return merged
 }
 
-// loadAverage returns the machine's load average over a minute, 0 if there is
-// none.
+// loadAverage returns the machine's load average over one minute, or 0 if it is
+// not available.
 func loadAverage() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/bench/player/result.go
+++ b/bench/player/result.go
@@ -12,80 +12,84 @@
 	"sycamorerun/bench/judge"
 )
 
-// Units are those of the numbers in results; times are texts with a unit.
+// Units are the units of the numbers in results. Durations are texts with a
+// unit.
 var Units = map[string]string{
 	"at": "s from the start of the load", "rate": "requests/s", "zone": "B/s", "region": "B/s", "cross": "B/s",
 	"store": "B/s", "calls": "calls/s", "load": "load average of the machine over 1 min", "share": "of 1",
 }
 
-// Result is what an experiment showed.
+// Result is the result of an experiment.
 type Result struct {
-	Name     string               `json:"name"`
-	About    string               `json:"about"`
-	Seed     uint64               `json:"seed"`
-	Began    time.Time            `json:"began"`
-	Duration sycamorerun.Duration `json:"duration"`
-	Units    map[string]string    `json:"units"`
-	// Kinds are the names of the kinds of requests in the order of all lists.
+	Name      string               `json:"name"`
+	About     string               `json:"about"`
+	Seed      uint64               `json:"seed"`
+	StartedAt time.Time            `json:"began"`
+	Duration  sycamorerun.Duration `json:"duration"`
+	Units     map[string]string    `json:"units"`
+	// Kinds are the names of the request kinds. Lists of summaries have the same
+	// order.
 	Kinds    []string  `json:"kinds"`
 	Variants []Variant `json:"variants"`
 }
 
-// Broken returns the number of broken promises.
-func (r Result) Broken() int {
+// BrokenPromises returns the number of broken promises in all variants.
+func (r Result) BrokenPromises() int {
 	total := 0
 	for _, variant := range r.Variants {
-		for _, count := range variant.Broken {
+		for _, count := range variant.BrokenPromises {
 			total += count
 		}
 	}
 	return total
 }
 
-// Variant is what one run showed.
+// Variant is the result of one variant.
 type Variant struct {
 	Name     string                 `json:"name"`
 	Settings []experimenter.Setting `json:"settings"`
-	// Before and After are the machine's load averages.
-	Before float64 `json:"before"`
-	After  float64 `json:"after"`
-	// Kinds has the whole run, Phases the spans between changes of the load.
+	// LoadBefore and LoadAfter are the machine's load averages before and after
+	// the run.
+	LoadBefore float64 `json:"before"`
+	LoadAfter  float64 `json:"after"`
+	// Kinds summarizes the whole run, Phases the spans between load events.
 	Kinds   []Summary `json:"kinds"`
 	Phases  []Phase   `json:"phases"`
 	Samples []Sample  `json:"samples"`
 	Marks   []Mark    `json:"marks"`
 	Changes []Change  `json:"changes"`
-	// Broken counts the judge's findings for each promise. Findings has the
-	// first ones.
-	Broken   map[judge.Promise]int `json:"broken"`
-	Findings []judge.Finding       `json:"findings"`
-	// Stalled is the time for which the callers did not run: the machine was
-	// short of processor time, for the nodes as well.
+	// BrokenPromises is the number of the judge's findings for each promise.
+	// Findings lists the first of them.
+	BrokenPromises map[judge.Promise]int `json:"broken"`
+	Findings       []judge.Finding       `json:"findings"`
+	// Stalled is the total time in which the callers did not run because the
+	// machine was short of processor time, which also delays the nodes.
 	Stalled sycamorerun.Duration `json:"stalled"`
 	// Attempts is the number of attempts that were judged.
 	Attempts int `json:"attempts"`
-	// Logs is the directory of the logs and journals, if promises were broken.
+	// Logs is the directory of the logs and journals, which are kept if a promise
+	// was broken.
 	Logs string `json:"logs,omitempty"`
 }
 
-// Summary is what the callers of a kind saw in a span.
+// Summary aggregates the requests of one kind in a span, as seen by the callers.
 type Summary struct {
 	Requests int `json:"requests"`
 	Served   int `json:"served"`
-	// InTime are the served ones within the objective, all of them if there is
-	// none.
-	InTime int `json:"intime"`
-	// Refused were told last that they did not run, the other ones that are not
-	// served have an unknown outcome.
+	// WithinObjective is the number of served requests within the latency
+	// objective, or of all served requests if there is none.
+	WithinObjective int `json:"intime"`
+	// Refused is the number of requests whose last attempt was reported as not
+	// executed. Other requests that were not served have an unknown outcome.
 	Refused int `json:"refused"`
-	// Latencies are those of the served requests from the time at which they
-	// were due.
+	// Median, P99 and Worst are latencies of served requests, measured from the
+	// scheduled start.
 	Median sycamorerun.Duration `json:"median"`
 	P99    sycamorerun.Duration `json:"p99"`
 	Worst  sycamorerun.Duration `json:"worst"`
 }
 
-// Share returns the share of the requests that were served, 1 without any.
+// Share returns the served share of the requests, or 1 if there are none.
 func (s Summary) Share() float64 {
 	if s.Requests == 0 {
 		return 1
@@ -93,7 +97,7 @@
 	return float64(s.Served) / float64(s.Requests)
 }
 
-// Phase is a span with the same load.
+// Phase is a span with constant load.
 type Phase struct {
 	From  float64   `json:"from"`
 	To    float64   `json:"to"`
@@ -101,71 +105,72 @@
 	Kinds []Summary `json:"kinds"`
 }
 
-// Sample is one second of a run.
+// Sample has the measurements of one second of a run.
 type Sample struct {
-	// At is the end of the second.
+	// At is the end of the second, as an offset from the start of the load.
 	At    float64   `json:"at"`
 	Kinds []Summary `json:"kinds"`
-	// Zone, Region and Cross are control bytes that nodes sent to nodes of the
-	// same availability zone, of another one in the region, and of another
-	// region: the streams of membership and distribution.
-	Zone   float64 `json:"zone"`
-	Region float64 `json:"region"`
-	Cross  float64 `json:"cross"`
-	// Store are the bytes between the store and nodes of other regions.
-	Store float64 `json:"store"`
-	// Calls are the store's reads, writes and waiting watches.
-	Calls float64 `json:"calls"`
+	// ZoneBytes, RegionBytes and CrossRegionBytes are control bytes (membership
+	// and distribution streams) that nodes sent within an availability zone, to
+	// other zones of the region, and to other regions.
+	ZoneBytes        float64 `json:"zone"`
+	RegionBytes      float64 `json:"region"`
+	CrossRegionBytes float64 `json:"cross"`
+	// StoreBytes are the bytes between the store and nodes of other regions.
+	StoreBytes float64 `json:"store"`
+	// StoreCalls are the reads, writes and blocking watches at the store.
+	StoreCalls float64 `json:"calls"`
 }
 
-// Mark is an event as it was played.
+// Mark is an event with the times at which it was in effect.
 type Mark struct {
 	Label string  `json:"label"`
 	From  float64 `json:"from"`
 	To    float64 `json:"to"`
-	// Fault is false for a change of the load.
+	// Fault is false for load events.
 	Fault bool `json:"fault"`
 }
 
-// Change is a version that the operator wrote.
+// Change is a settings change that the operator submitted.
 type Change struct {
 	At float64 `json:"at"`
-	// Node is the one that the operator asked first.
+	// Node is the node that received the first attempt.
 	Node    string `json:"node"`
 	Number  int    `json:"number"`
 	Status  string `json:"status"`
 	Version uint64 `json:"version"`
-	// Accepted is the time until the operator knew the outcome.
-	Accepted sycamorerun.Duration `json:"accepted"`
+	// AcceptanceLatency is the time from the submission until the operator
+	// received the outcome.
+	AcceptanceLatency sycamorerun.Duration `json:"accepted"`
 	// Median and Last are the times from the acceptance until half and all of
 	// the nodes without a fault had applied the version.
 	Median sycamorerun.Duration `json:"median"`
 	Last   sycamorerun.Duration `json:"last"`
-	// Faulty are the nodes that had a fault before they applied it. LastFaulty
-	// is the time until all of them had.
+	// Faulty is the number of nodes that had a fault between the acceptance and
+	// applying the version, LastFaulty the time until all of them had applied it.
 	Faulty     int                  `json:"faulty,omitempty"`
 	LastFaulty sycamorerun.Duration `json:"lastfaulty,omitempty"`
-	// Missing are the nodes that did not apply it until the end.
+	// Missing are the nodes that had not applied the version by the end.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// converge fills in when nodes applied the change. A node can apply it before
-// the operator knows the outcome, so the acceptance is the earlier one of the
-// first application and the operator's knowledge.
-func (c *Change) converge(known time.Time, applied map[string]time.Time, nodes []string, faulty func(node string, from, to time.Time) bool) {
-	accepted := known
-	for _, at := range applied {
+// setConvergence sets the convergence times of the change. A node can apply it
+// before the operator receives the outcome, so the time of acceptance is the
+// earlier of outcomeKnown and the first application.
+func (c *Change) setConvergence(outcomeKnown time.Time, appliedAt map[string]time.Time, nodes []string, hadFault func(node string, from, to time.Time) bool) {
+	accepted := outcomeKnown
+	for _, at := range appliedAt {
 		if at.Before(accepted) {
 			accepted = at
 		}
 	}
 	var delays []time.Duration
 	for _, node := range nodes {
-		at, has := applied[node]
+		at, ok := appliedAt[node]
 		switch delay := at.Sub(accepted); {
-		case !has:
+		case !ok:
 			c.Missing = append(c.Missing, node)
-		case faulty(node, accepted, at):
+		case hadFault(node, accepted, at):
 			c.Faulty++
 			c.LastFaulty = max(c.LastFaulty, sycamorerun.Duration(delay))
 		default:
@@ -176,8 +181,8 @@
 	c.Median, c.Last = quantile(delays, 0.5), quantile(delays, 1)
 }
 
-// summarize returns a summary for each kind from the requests that were due
-// from one time up to another.
+// summarize returns a summary for each kind of the requests with a scheduled
+// start in [from, to).
 func summarize(kinds []string, records []caller.Record, from, to time.Time) []Summary {
 	summaries := make([]Summary, len(kinds))
 	latencies := make([][]time.Duration, len(kinds))
@@ -196,7 +201,7 @@
 		}
 		s.Served++
 		if record.Objective == 0 || record.Latency() <= record.Objective {
-			s.InTime++
+			s.WithinObjective++
 		}
 		latencies[i] = append(latencies[i], record.Latency())
 	}
@@ -209,8 +214,8 @@
 	return summaries
 }
 
-// quantile returns the smallest value that at least a share of the sorted
-// values does not exceed.
+// quantile returns the smallest value that is greater than or equal to at least
+// a share of the sorted values, or 0 if there are none.
 func quantile(sorted []time.Duration, share float64) sycamorerun.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -219,41 +224,42 @@
 	return sycamorerun.Duration(sorted[min(max(index, 0), len(sorted)-1)])
 }
 
-// phases are the spans between changes of the load.
-func phases(x experimenter.Experiment, records []caller.Record, start time.Time) []Phase {
-	edges := map[time.Duration]bool{0: true, x.Duration: true}
-	for _, event := range x.Events {
+// phases returns summaries for the spans between the starts and ends of load
+// events.
+func phases(experiment experimenter.Experiment, records []caller.Record, start time.Time) []Phase {
+	boundaries := map[time.Duration]bool{0: true, experiment.Duration: true}
+	for _, event := range experiment.Events {
 		if event.Kind == experimenter.Load {
-			edges[event.At], edges[event.End()] = true, true
+			boundaries[event.At], boundaries[event.End()] = true, true
 		}
 	}
 	var result []Phase
-	times := slices.Sorted(maps.Keys(edges))
+	times := slices.Sorted(maps.Keys(boundaries))
 	for i := range len(times) - 1 {
 		from, to := times[i], times[i+1]
 		phase := Phase{From: from.Seconds(), To: to.Seconds(), Name: "base load"}
-		for _, event := range x.Events {
+		for _, event := range experiment.Events {
 			if event.Kind == experimenter.Load && event.At <= from && event.End() >= to {
 				phase.Name = event.String()
 			}
 		}
-		phase.Kinds = summarize(kindNames(x), records, start.Add(from), start.Add(to))
+		phase.Kinds = summarize(kindNames(experiment), records, start.Add(from), start.Add(to))
 		result = append(result, phase)
 	}
 	return result
 }
 
-// kindNames returns the names of the kinds, without the one that reads the
-// version in force.
-func kindNames(x experimenter.Experiment) []string {
+// kindNames returns the names of the experiment's request kinds, which do not
+// include the marker kind.
+func kindNames(experiment experimenter.Experiment) []string {
 	var names []string
-	for _, kind := range x.Load {
+	for _, kind := range experiment.Load {
 		names = append(names, kind.Name)
 	}
 	return names
 }
 
-// sortMarks orders marks by their start.
+// sortMarks sorts marks by their start and label.
 func sortMarks(marks []Mark) {
 	slices.SortFunc(marks, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Label, b.Label)) })
 }
--- a/bench/player/result_test.go
+++ b/bench/player/result_test.go
@@ -14,36 +14,36 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+func afterStart(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 // TestConverge guards against a convergence time that hides a slow or missing
-// node, or that blames the system for a node that the player had paused.
+// node, or that includes a node that the player had paused.
 func TestConverge(t *testing.T) {
 	faulty := func(node string, from, to time.Time) bool {
-		return node == "paused" && from.Before(after(500)) && to.After(after(300))
+		return node == "paused" && from.Before(afterStart(500)) && to.After(afterStart(300))
 	}
 	cases := map[string]struct {
 		applied map[string]time.Time
 		want    Change
 	}{
 		"everywhere": {
-			map[string]time.Time{"a": after(0), "b": after(10), "paused": after(20)},
+			map[string]time.Time{"a": afterStart(0), "b": afterStart(10), "paused": afterStart(20)},
 			Change{Median: ms(10), Last: ms(20)},
 		},
 		"a slow node": {
-			map[string]time.Time{"a": after(0), "b": after(900), "paused": after(20)},
+			map[string]time.Time{"a": afterStart(0), "b": afterStart(900), "paused": afterStart(20)},
 			Change{Median: ms(20), Last: ms(900)},
 		},
 		"a paused node": {
-			map[string]time.Time{"a": after(0), "b": after(10), "paused": after(600)},
+			map[string]time.Time{"a": afterStart(0), "b": afterStart(10), "paused": afterStart(600)},
 			Change{Median: ms(0), Last: ms(10), Faulty: 1, LastFaulty: ms(600)},
 		},
 		"a missing node": {
-			map[string]time.Time{"a": after(0), "paused": after(20)},
+			map[string]time.Time{"a": afterStart(0), "paused": afterStart(20)},
 			Change{Median: ms(0), Last: ms(20), Missing: []string{"b"}},
 		},
 		"applied before the operator knew": {
-			map[string]time.Time{"a": after(-30), "b": after(10), "paused": after(20)},
+			map[string]time.Time{"a": afterStart(-30), "b": afterStart(10), "paused": afterStart(20)},
 			Change{Median: ms(40), Last: ms(50)},
 		},
 	}
@@ -51,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var change Change
-			change.converge(after(0), c.applied, []string{"a", "b", "paused"}, faulty)
+			change.setConvergence(afterStart(0), c.applied, []string{"a", "b", "paused"}, faulty)
 			is.Equal(change, c.want)
 		})
 	}
@@ -61,20 +61,19 @@
 	return sycamorerun.Duration(n) * sycamorerun.Duration(time.Millisecond)
 }
 
-// record returns a request that was due at a time and took a time.
-func record(due, took int, result sycamorerun.Result) caller.Record {
+// record returns a request with a scheduled start and a latency in milliseconds.
+func record(due, latency int, result sycamorerun.Result) caller.Record {
 	attempt := caller.Attempt{Result: result}
 	if result == sycamorerun.Answered {
 		attempt.Status, attempt.Whole = http.StatusOK, true
 	}
 	return caller.Record{
-		Kind: "status", Objective: 100 * time.Millisecond, Start: after(due), End: after(due + took), Attempts: []caller.Attempt{attempt},
+		Kind: "status", Objective: 100 * time.Millisecond, Start: afterStart(due), End: afterStart(due + latency), Attempts: []caller.Attempt{attempt},
 	}
 }
 
-// TestSummarize guards against requests that count in two seconds, against
-// failures that improve the latency, and against a mix-up of refused and
-// unknown ones.
+// TestSummarize guards against requests that are counted in two spans, failed
+// requests in the latencies, and refused requests that count as unknown.
 func TestSummarize(t *testing.T) {
 	is := is.New(t)
 	records := []caller.Record{
@@ -82,13 +81,13 @@
 		record(600, 5, sycamorerun.NotRun), record(700, 5, sycamorerun.Unknown),
 		record(1000, 50, sycamorerun.Answered), record(-1, 50, sycamorerun.Answered),
 	}
-	got := summarize([]string{"other", "status"}, records, after(0), after(1000))
+	got := summarize([]string{"other", "status"}, records, afterStart(0), afterStart(1000))
 	is.Equal(got[0], Summary{})
-	is.Equal(got[1], Summary{Requests: 5, Served: 3, InTime: 2, Refused: 1, Median: ms(30), P99: ms(200), Worst: ms(200)})
+	is.Equal(got[1], Summary{Requests: 5, Served: 3, WithinObjective: 2, Refused: 1, Median: ms(30), P99: ms(200), Worst: ms(200)})
 	is.Equal(got[1].Share(), 0.6)
 }
 
-// TestPhases guards against spans of the load that overlap or leave a gap.
+// TestPhases guards against phases that overlap or leave a gap.
 func TestPhases(t *testing.T) {
 	is := is.New(t)
 	x := experimenter.Experiment{
@@ -105,9 +104,10 @@
 	is.Equal(got[1].Kinds[0].Served, 1)
 }
 
-// TestAdvance guards against a negative count when a process starts again.
-func TestAdvance(t *testing.T) {
+// TestCounterIncrease guards against a negative increase after a restart of a
+// process.
+func TestCounterIncrease(t *testing.T) {
 	is := is.New(t)
-	is.Equal(advance(10, 15), 5.0)
-	is.Equal(advance(10, 3), 3.0)
+	is.Equal(counterIncrease(10, 15), 5.0)
+	is.Equal(counterIncrease(10, 3), 3.0)
 }
--- a/bench/player/sampler.go
+++ b/bench/player/sampler.go
@@ -9,65 +9,66 @@
 	"sycamorerun/bench/scraper"
 )
 
-// scrapeLimit bounds the reading of a process's counters, which a paused one
-// never answers.
-const scrapeLimit = 700 * time.Millisecond
+// scrapeTimeout bounds a reading of the counters, since a paused process does
+// not respond.
+const scrapeTimeout = 700 * time.Millisecond
 
-// controlKinds are the streams between nodes that carry no calls.
-var controlKinds = []string{"tracker", "distributor"}
+// controlStreamKinds are the kinds of streams between nodes that do not carry
+// calls.
+var controlStreamKinds = []string{"tracker", "distributor"}
 
-// scopes are the label values of the connector's counters in the order of
-// counts.
+// scopes are the values of the label scope of the connector's counters, in the
+// order of counterSums.control.
 var scopes = [...]string{"zone", "region", "cross-region"}
 
-// counts are sums of counters: control bytes by scope, the store's bytes to
-// other regions, and its calls.
-type counts struct {
+// counterSums are sums of counters: control bytes by scope, bytes between the
+// store and other regions, and store calls.
+type counterSums struct {
 	control [len(scopes)]float64
 	store   float64
 	calls   float64
 }
 
-// sampler reads the counters of a fleet.
+// sampler samples the counters of a fleet.
 type sampler struct {
 	fleet *deployer.Fleet
-	// last has each node's counters at the last reading. Those of a process
-	// that started again begin at zero.
-	last  []counts
-	usage deployer.StoreStats
-	total counts
+	// lastSums has the counters of each node at the last reading. The counters
+	// of a restarted process begin at zero.
+	lastSums   []counterSums
+	storeStats deployer.StoreStats
+	total      counterSums
 }
 
 func newSampler(fleet *deployer.Fleet) *sampler {
-	return &sampler{fleet: fleet, last: make([]counts, len(fleet.Nodes))}
+	return &sampler{fleet: fleet, lastSums: make([]counterSums, len(fleet.Nodes))}
 }
 
-// run takes a sample each second. Nodes update their counters once a second,
-// so a sample can have the bytes of none or two of these seconds.
+// run takes a sample every second. Nodes also update their counters once per
+// second, so a sample can contain the bytes of zero or two updates.
 func (s *sampler) run(ctx context.Context, start time.Time, duration time.Duration) []Sample {
 	var samples []Sample
-	s.read(ctx)
+	s.readCounters(ctx)
 	before := s.total
 	for at := time.Second; at <= duration; at += time.Second {
 		deployer.Pause(ctx, time.Until(start.Add(at)))
-		s.read(ctx)
+		s.readCounters(ctx)
 		samples = append(samples, Sample{
-			At: at.Seconds(), Zone: s.total.control[0] - before.control[0], Region: s.total.control[1] - before.control[1],
-			Cross: s.total.control[2] - before.control[2], Store: s.total.store - before.store, Calls: s.total.calls - before.calls,
+			At: at.Seconds(), ZoneBytes: s.total.control[0] - before.control[0], RegionBytes: s.total.control[1] - before.control[1],
+			CrossRegionBytes: s.total.control[2] - before.control[2], StoreBytes: s.total.store - before.store, StoreCalls: s.total.calls - before.calls,
 		})
 		before = s.total
 	}
 	return samples
 }
 
-// read adds what was counted since the last reading to the total. A process
-// that does not answer is read the next time.
-func (s *sampler) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, scrapeLimit)
+// readCounters adds the increase since the last reading to the total. The
+// increase of a process that does not respond is added by a later reading.
+func (s *sampler) readCounters(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, scrapeTimeout)
 	defer cancel()
-	now := make([]counts, len(s.last))
-	copy(now, s.last)
-	stats := s.usage
+	current := make([]counterSums, len(s.lastSums))
+	copy(current, s.lastSums)
+	stats := s.storeStats
 	var group sync.WaitGroup
 	for i, node := range s.fleet.Nodes {
 		group.Go(func() {
@@ -75,7 +76,7 @@
 			if err != nil {
 				return
 			}
-			now[i].control = control(samples)
+			current[i].control = controlBytes(samples)
 		})
 	}
 	group.Go(func() {
@@ -84,35 +85,35 @@
 		}
 	})
 	group.Wait()
-	for i := range now {
+	for i := range current {
 		for scope := range scopes {
-			s.total.control[scope] += advance(s.last[i].control[scope], now[i].control[scope])
+			s.total.control[scope] += counterIncrease(s.lastSums[i].control[scope], current[i].control[scope])
 		}
 	}
-	s.total.calls += advance(s.usage.Calls(), stats.Calls())
-	home := s.fleet.Spec.Zones[0].Region
+	s.total.calls += counterIncrease(s.storeStats.Calls(), stats.Calls())
+	storeRegion := s.fleet.Spec.Zones[0].Region
 	for _, node := range s.fleet.Nodes {
-		if node.Zone.Region != home {
-			s.total.store += advance(s.usage.Bytes(node.Name), stats.Bytes(node.Name))
+		if node.Zone.Region != storeRegion {
+			s.total.store += counterIncrease(s.storeStats.Bytes(node.Name), stats.Bytes(node.Name))
 		}
 	}
-	s.last, s.usage = now, stats
+	s.lastSums, s.storeStats = current, stats
 }
 
-// control sums the control bytes that a node sent.
-func control(samples []scraper.Sample) [len(scopes)]float64 {
+// controlBytes returns the control bytes that a node sent, by scope.
+func controlBytes(samples []scraper.Sample) [len(scopes)]float64 {
 	var sums [len(scopes)]float64
 	for i, scope := range scopes {
-		for _, kind := range controlKinds {
+		for _, kind := range controlStreamKinds {
 			sums[i] += scraper.Sum(samples, "sycamorerun_connector_stream_bytes", `scope="`+scope+`"`, `direction="out"`, `kind="`+kind+`"`)
 		}
 	}
 	return sums
 }
 
-// advance returns what a counter counted between two readings. One that went
-// back belongs to a new process.
-func advance(before, now float64) float64 {
+// counterIncrease returns the increase of a counter between two readings. A
+// decrease means that the process restarted and the counter began at zero.
+func counterIncrease(before, now float64) float64 {
 	if now < before {
 		return now
 	}
--- a/bench/plotter/plotter.go
+++ b/bench/plotter/plotter.go
@@ -271,7 +271,7 @@
 	var last, median, faulty, missing plotter.XYs
 	for _, change := range variant.Changes {
 		// The marks are where the operator knew that the version was accepted.
-		at := change.At + float64(change.Accepted)/1e9
+		at := change.At + float64(change.AcceptanceLatency)/1e9
 		switch {
 		case change.Version == 0:
 		case len(change.Missing) > 0:
@@ -316,10 +316,10 @@
 		name  string
 		value func(player.Sample) float64
 	}{
-		{"between regions", func(s player.Sample) float64 { return s.Cross }},
-		{"store to and from other regions", func(s player.Sample) float64 { return s.Store }},
-		{"between zones of a region", func(s player.Sample) float64 { return s.Region }},
-		{"within zones", func(s player.Sample) float64 { return s.Zone }},
+		{"between regions", func(s player.Sample) float64 { return s.CrossRegionBytes }},
+		{"store to and from other regions", func(s player.Sample) float64 { return s.StoreBytes }},
+		{"between zones of a region", func(s player.Sample) float64 { return s.RegionBytes }},
+		{"within zones", func(s player.Sample) float64 { return s.ZoneBytes }},
 	} {
 		curve(p, line.name, i, false, variant.Samples, func(s player.Sample) (float64, bool) { return line.value(s) / kilobytes, true })
 	}
@@ -329,7 +329,7 @@
 
 func calls(variant player.Variant) *plot.Plot {
 	p := panel("store calls (1/s)")
-	curve(p, "store calls", 0, false, variant.Samples, func(s player.Sample) (float64, bool) { return s.Calls, true })
+	curve(p, "store calls", 0, false, variant.Samples, func(s player.Sample) (float64, bool) { return s.StoreCalls, true })
 	linear(p)
 	return p
 }
--- a/bench/plotter/table.go
+++ b/bench/plotter/table.go
@@ -54,7 +54,7 @@
 		return []string{fmt.Sprint(s.Requests), percent(0, s.Requests), "", fmt.Sprint(s.Refused), fmt.Sprint(s.Requests - s.Refused), "", "", ""}
 	}
 	return []string{
-		fmt.Sprint(s.Requests), percent(s.Served, s.Requests), percent(s.InTime, s.Requests), fmt.Sprint(s.Refused),
+		fmt.Sprint(s.Requests), percent(s.Served, s.Requests), percent(s.WithinObjective, s.Requests), fmt.Sprint(s.Refused),
 		fmt.Sprint(s.Requests - s.Served - s.Refused), milli(s.Median), milli(s.P99), milli(s.Worst),
 	}
 }
@@ -106,16 +106,16 @@
 			default:
 				last = append(last, change.Last)
 			}
-			accepted = append(accepted, change.Accepted)
+			accepted = append(accepted, change.AcceptanceLatency)
 			faulty = max(faulty, change.LastFaulty)
 		}
 		var cross, store, region, zone, calls float64
 		for _, sample := range variant.Samples {
-			cross += sample.Cross
-			store += sample.Store
-			region += sample.Region
-			zone += sample.Zone
-			calls += sample.Calls
+			cross += sample.CrossRegionBytes
+			store += sample.StoreBytes
+			region += sample.RegionBytes
+			zone += sample.ZoneBytes
+			calls += sample.StoreCalls
 		}
 		cells := []string{variant.Name, fmt.Sprint(len(variant.Changes)), fmt.Sprint(len(accepted))}
 		cells = append(cells, middle(accepted)...)
@@ -124,7 +124,7 @@
 		for _, bytes := range []float64{cross, store, region, zone} {
 			cells = append(cells, fmt.Sprintf("%.1f", bytes/kilobytes))
 		}
-		row(text, append(cells, fmt.Sprintf("%.0f", calls), fmt.Sprintf("%.1f", variant.Before), fmt.Sprintf("%.1f", variant.After), fmt.Sprintf("%.1f", time.Duration(variant.Stalled).Seconds()))...)
+		row(text, append(cells, fmt.Sprintf("%.0f", calls), fmt.Sprintf("%.1f", variant.LoadBefore), fmt.Sprintf("%.1f", variant.LoadAfter), fmt.Sprintf("%.1f", time.Duration(variant.Stalled).Seconds()))...)
 	}
 	text.WriteString("\n")
 }
@@ -141,13 +141,13 @@
 // findings writes what the judge found.
 func findings(text *strings.Builder, result player.Result) {
 	for _, variant := range result.Variants {
-		if len(variant.Broken) == 0 {
+		if len(variant.BrokenPromises) == 0 {
 			fmt.Fprintf(text, "Variant %s: no broken promise in %d attempts.\n", variant.Name, variant.Attempts)
 			continue
 		}
 		fmt.Fprintf(text, "Variant %s: broken promises in %d attempts:", variant.Name, variant.Attempts)
-		for _, promise := range slices.Sorted(maps.Keys(variant.Broken)) {
-			fmt.Fprintf(text, " %s %d", promise, variant.Broken[promise])
+		for _, promise := range slices.Sorted(maps.Keys(variant.BrokenPromises)) {
+			fmt.Fprintf(text, " %s %d", promise, variant.BrokenPromises[promise])
 		}
 		text.WriteString("\n\n")
 		listed := map[string]int{}
