--- a/bench/cmd/srbench/main.go
+++ b/bench/cmd/srbench/main.go
@@ -107,7 +107,7 @@
 					return err
 				}
 				fmt.Println()
-				leaves, err := stresser.Leaves(command.Context(), c)
+				leaves, err := stresser.Departures(command.Context(), c)
 				if err != nil {
 					return err
 				}
--- a/bench/stresser/leave.go
+++ b/bench/stresser/leave.go
@@ -74,10 +74,10 @@
 	}},
 }
 
-// Leaves measures how long an upstream that leaves gets new requests, by its
+// Departures measures how long an upstream that leaves gets new requests, by its
 // own records. Every second zone has none of the service, so that calls come
 // from other zones too.
-func Leaves(ctx context.Context, c Case) ([]Leave, error) {
+func Departures(ctx context.Context, c Case) ([]Leave, error) {
 	var results []Leave
 	for _, way := range leaves {
 		result, err := c.leave(ctx, way.leave)
--- a/bench/system/stop_test.go
+++ b/bench/system/stop_test.go
@@ -50,7 +50,7 @@
 	t.Parallel()
 	is := is.New(t)
 	const refused = 3 * time.Second
-	leaves, err := stresser.Leaves(t.Context(), stresser.Case{Binaries: binaries, Directory: t.TempDir(), Rate: 200})
+	leaves, err := stresser.Departures(t.Context(), stresser.Case{Binaries: binaries, Directory: t.TempDir(), Rate: 200})
 	is.NoErr(err)
 	for _, l := range leaves {
 		t.Logf("%+v", l)
