--- a/bench/plotter/plotter.go
+++ b/bench/plotter/plotter.go
@@ -1,4 +1,4 @@
-// Package plotter writes the results of experiments as plots, tables and JSON.
+// Package plotter writes experiment results as plots, tables and JSON.
 package plotter
 
 import (
@@ -25,10 +25,12 @@
 const (
 	width       = 10 * vg.Inch
 	panelHeight = 2.2 * vg.Inch
-	// headroom keeps curves clear of the labels of events.
+	// headroom is the factor by which the vertical axis exceeds the largest value.
+	// It keeps curves clear of event labels and legends.
 	headroom = 1.12
 	fontSize = 8
-	// milliseconds and kilobytes are the units of the axes.
+	// milliseconds and kilobytes convert nanoseconds and bytes to the units of the
+	// axes.
 	milliseconds = 1e6
 	kilobytes    = 1e3
 )
@@ -36,7 +38,7 @@
 var (
 	faultColor = color.NRGBA{A: 34}
 	loadColor  = color.NRGBA{R: 31, G: 119, B: 180, A: 22}
-	// colors of the curves differ from those of the events.
+	// colors are the colors of the curves. They differ from the event colors.
 	colors = []color.Color{
 		color.NRGBA{R: 31, G: 119, B: 180, A: 255},
 		color.NRGBA{R: 255, G: 127, B: 14, A: 255},
@@ -47,21 +49,22 @@
 	}
 )
 
-// Write writes NAME.json, NAME.md and NAME-VARIANT.png to a directory.
+// Write writes NAME.json, NAME.md and, for each variant, NAME-VARIANT.png to a
+// directory.
 func Write(directory string, result player.Result) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
-		return errors.Wrap(err, "results")
+		return errors.Wrap(err, "create the results directory")
 	}
 	text, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
-		return errors.Wrap(err, "results")
+		return errors.Wrap(err, "encode the results")
 	}
 	base := filepath.Join(directory, result.Name)
 	if err := os.WriteFile(base+".json", append(text, '\n'), 0o644); err != nil {
-		return errors.Wrap(err, "results")
+		return errors.Wrap(err, "write the results as JSON")
 	}
 	if err := os.WriteFile(base+".md", []byte(Table(result)), 0o644); err != nil {
-		return errors.Wrap(err, "results")
+		return errors.Wrap(err, "write the results as Markdown")
 	}
 	for _, variant := range result.Variants {
 		if err := Plot(base+"-"+variant.Name+".png", result, variant); err != nil {
@@ -71,14 +74,14 @@
 	return nil
 }
 
-// Plot writes the plots of a variant, one above the other, as PNG.
+// Plot writes the panels of a variant, stacked vertically, as a PNG file.
 func Plot(path string, result player.Result, variant player.Variant) error {
 	panels := []*plot.Plot{
-		latency(result, variant), served(result, variant), convergence(variant), control(variant), calls(variant),
+		latencyPanel(result, variant), servedPanel(result, variant), convergencePanel(variant), controlBytesPanel(variant), storeCallsPanel(variant),
 	}
 	rows := make([][]*plot.Plot, len(panels))
 	for i, panel := range panels {
-		finish(panel, result, variant, i == 0)
+		finishPanel(panel, result, variant, i == 0)
 		rows[i] = []*plot.Plot{panel}
 	}
 	panels[0].Title.Text = fmt.Sprintf("%s, variant %s", result.Name, variant.Name)
@@ -93,20 +96,20 @@
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "plot")
+		return errors.Wrap(err, "create the plot file")
 	}
 	defer file.Close()
 	if _, err := (vgimg.PngCanvas{Canvas: image}).WriteTo(file); err != nil {
-		return errors.Wrap(err, "plot")
+		return errors.Wrap(err, "write the plot")
 	}
-	return errors.Wrap(file.Close(), "plot")
+	return errors.Wrap(file.Close(), "close the plot file")
 }
 
-// finish sets what all panels have in common, and adds the events. Their
-// labels are in one panel only.
-func finish(p *plot.Plot, result player.Result, variant player.Variant, labels bool) {
+// finishPanel sets the common properties of panels and adds the events, with
+// their labels if labels is set.
+func finishPanel(p *plot.Plot, result player.Result, variant player.Variant, labels bool) {
 	p.X.Min, p.X.Max = 0, float64(result.Duration)/1e9
-	p.X.Tick.Marker = seconds{}
+	p.X.Tick.Marker = secondTicks{}
 	p.Legend.Left = true
 	p.Legend.XOffs = vg.Millimeter
 	if p.Legend.Top {
@@ -121,7 +124,7 @@
 	}
 	p.Add(plotter.NewGrid())
 	for i, mark := range variant.Marks {
-		shade := span{mark: mark, color: loadColor, style: p.X.Tick.Label}
+		shade := eventSpan{mark: mark, color: loadColor, style: p.X.Tick.Label}
 		if mark.Fault {
 			shade.color = faultColor
 		}
@@ -132,17 +135,17 @@
 	}
 }
 
-// span shades the time of an event over the whole height.
-type span struct {
+// eventSpan is a plotter that shades the time of an event over the whole height.
+type eventSpan struct {
 	mark  player.Mark
 	color color.Color
 	style draw.TextStyle
-	// row is the line of the label from the bottom, 0 for no label.
+	// row is the line of the label, counted from the bottom, or 0 for no label.
 	row int
 }
 
 // Plot implements plot.Plotter.
-func (s span) Plot(c draw.Canvas, p *plot.Plot) {
+func (s eventSpan) Plot(c draw.Canvas, p *plot.Plot) {
 	x, _ := p.Transforms(&c)
 	from, to := max(x(s.mark.From), c.Min.X), min(x(s.mark.To), c.Max.X)
 	c.FillPolygon(s.color, []vg.Point{{X: from, Y: c.Min.Y}, {X: to, Y: c.Min.Y}, {X: to, Y: c.Max.Y}, {X: from, Y: c.Max.Y}})
@@ -153,16 +156,16 @@
 	}
 }
 
-// curve adds a line, which has a gap where valid is false.
-func curve(p *plot.Plot, name string, number int, dashed bool, samples []player.Sample, value func(player.Sample) (float64, bool)) {
-	var part plotter.XYs
-	var shown *plotter.Line
+// addCurve adds a curve with a gap at each sample for which value reports false.
+func addCurve(p *plot.Plot, name string, number int, dashed bool, samples []player.Sample, value func(player.Sample) (float64, bool)) {
+	var segment plotter.XYs
+	var lastLine *plotter.Line
 	flush := func() {
-		if len(part) == 0 {
+		if len(segment) == 0 {
 			return
 		}
-		line, points, err := plotter.NewLinePoints(part)
-		if part = nil; err != nil {
+		line, points, err := plotter.NewLinePoints(segment)
+		if segment = nil; err != nil {
 			return // A value is no number.
 		}
 		line.Color = colors[number%len(colors)]
@@ -173,7 +176,7 @@
 			line.Width, line.Dashes = vg.Points(0.7), plotutil.Dashes(1)
 		}
 		p.Add(line, points)
-		shown = line
+		lastLine = line
 	}
 	for _, sample := range samples {
 		y, valid := value(sample)
@@ -181,45 +184,46 @@
 			flush()
 			continue
 		}
-		part = append(part, plotter.XY{X: sample.At, Y: y})
+		segment = append(segment, plotter.XY{X: sample.At, Y: y})
 	}
 	flush()
-	if shown != nil {
-		p.Legend.Add(name, shown)
+	if lastLine != nil {
+		p.Legend.Add(name, lastLine)
 	}
 }
 
-// seconds marks at most twelve times in round steps.
-type seconds struct{}
+// secondTicks is a ticker with at most about twelve ticks at multiples of a round
+// step.
+type secondTicks struct{}
 
 // Ticks implements plot.Ticker.
-func (seconds) Ticks(least, most float64) []plot.Tick {
+func (secondTicks) Ticks(minimum, maximum float64) []plot.Tick {
 	step := 1.0
 	for _, step = range []float64{1, 2, 5, 10, 20, 30, 60, 120} {
-		if (most-least)/step <= 12 {
+		if (maximum-minimum)/step <= 12 {
 			break
 		}
 	}
 	var ticks []plot.Tick
-	for at := math.Ceil(least/step) * step; at <= most; at += step {
+	for at := math.Ceil(minimum/step) * step; at <= maximum; at += step {
 		ticks = append(ticks, plot.Tick{Value: at, Label: fmt.Sprint(at)})
 	}
 	return ticks
 }
 
-// panel returns an empty plot with a label of the vertical axis.
-func panel(label string) *plot.Plot {
+// newPanel returns an empty plot with a label on the vertical axis.
+func newPanel(label string) *plot.Plot {
 	p := plot.New()
 	p.Y.Label.Text = label
 	return p
 }
 
-// logged returns a time in milliseconds for a logarithmic axis, which has no
-// zero.
-func logged(d sycamorerun.Duration) float64 { return max(0.1, float64(d)/milliseconds) }
+// logAxisMilliseconds returns a duration in milliseconds, at least 0.1 because a
+// logarithmic axis has no zero.
+func logAxisMilliseconds(d sycamorerun.Duration) float64 { return max(0.1, float64(d)/milliseconds) }
 
-// logarithmic gives the vertical axis whole decades.
-func logarithmic(p *plot.Plot) {
+// setLogScale gives the vertical axis a logarithmic scale of whole decades.
+func setLogScale(p *plot.Plot) {
 	if p.Y.Min <= 0 || math.IsInf(p.Y.Min, 0) || math.IsInf(p.Y.Max, 0) {
 		p.Y.Min, p.Y.Max = 1, 10
 	}
@@ -231,33 +235,33 @@
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 }
 
-// linear begins the vertical axis at zero.
-func linear(p *plot.Plot) {
+// setLinearScale gives the vertical axis a linear scale that begins at zero.
+func setLinearScale(p *plot.Plot) {
 	if p.Y.Max <= 0 || math.IsInf(p.Y.Max, 0) {
 		p.Y.Max = 1
 	}
 	p.Y.Min, p.Y.Max = 0, p.Y.Max*headroom
 }
 
-func latency(result player.Result, variant player.Variant) *plot.Plot {
-	p := panel("latency (ms)")
+func latencyPanel(result player.Result, variant player.Variant) *plot.Plot {
+	p := newPanel("latency (ms)")
 	p.Legend.Top = true
 	for i, kind := range result.Kinds {
-		curve(p, kind+" p99", i, false, variant.Samples, func(s player.Sample) (float64, bool) {
-			return logged(s.Kinds[i].P99), s.Kinds[i].Served > 0
+		addCurve(p, kind+" p99", i, false, variant.Samples, func(s player.Sample) (float64, bool) {
+			return logAxisMilliseconds(s.Kinds[i].P99), s.Kinds[i].Served > 0
 		})
-		curve(p, kind+" median", i, true, variant.Samples, func(s player.Sample) (float64, bool) {
-			return logged(s.Kinds[i].Median), s.Kinds[i].Served > 0
+		addCurve(p, kind+" median", i, true, variant.Samples, func(s player.Sample) (float64, bool) {
+			return logAxisMilliseconds(s.Kinds[i].Median), s.Kinds[i].Served > 0
 		})
 	}
-	logarithmic(p)
+	setLogScale(p)
 	return p
 }
 
-func served(result player.Result, variant player.Variant) *plot.Plot {
-	p := panel("served (%)")
+func servedPanel(result player.Result, variant player.Variant) *plot.Plot {
+	p := newPanel("served (%)")
 	for i, kind := range result.Kinds {
-		curve(p, kind, i, false, variant.Samples, func(s player.Sample) (float64, bool) {
+		addCurve(p, kind, i, false, variant.Samples, func(s player.Sample) (float64, bool) {
 			return 100 * s.Kinds[i].Share(), s.Kinds[i].Requests > 0
 		})
 	}
@@ -265,12 +269,13 @@
 	return p
 }
 
-func convergence(variant player.Variant) *plot.Plot {
-	p := panel("convergence (ms)")
+func convergencePanel(variant player.Variant) *plot.Plot {
+	p := newPanel("convergence (ms)")
 	p.Legend.Top = true
 	var last, median, faulty, missing plotter.XYs
 	for _, change := range variant.Changes {
-		// The marks are where the operator knew that the version was accepted.
+		// Points are placed at the time at which the operator received the
+		// outcome.
 		at := change.At + float64(change.AcceptanceLatency)/1e9
 		switch {
 		case change.Version == 0:
@@ -278,10 +283,10 @@
 			missing = append(missing, plotter.XY{X: at, Y: 1})
 		default:
 			if change.Faulty > 0 {
-				faulty = append(faulty, plotter.XY{X: at, Y: logged(change.LastFaulty)})
+				faulty = append(faulty, plotter.XY{X: at, Y: logAxisMilliseconds(change.LastFaulty)})
 			}
-			last = append(last, plotter.XY{X: at, Y: logged(change.Last)})
-			median = append(median, plotter.XY{X: at, Y: logged(change.Median)})
+			last = append(last, plotter.XY{X: at, Y: logAxisMilliseconds(change.Last)})
+			median = append(median, plotter.XY{X: at, Y: logAxisMilliseconds(change.Median)})
 		}
 	}
 	for i, group := range []struct {
@@ -305,12 +310,12 @@
 		p.Add(scatter)
 		p.Legend.Add(group.name, scatter)
 	}
-	logarithmic(p)
+	setLogScale(p)
 	return p
 }
 
-func control(variant player.Variant) *plot.Plot {
-	p := panel("control bytes (KB/s)")
+func controlBytesPanel(variant player.Variant) *plot.Plot {
+	p := newPanel("control bytes (KB/s)")
 	p.Legend.Top = true
 	for i, line := range []struct {
 		name  string
@@ -321,15 +326,15 @@
 		{"between zones of a region", func(s player.Sample) float64 { return s.RegionBytes }},
 		{"within zones", func(s player.Sample) float64 { return s.ZoneBytes }},
 	} {
-		curve(p, line.name, i, false, variant.Samples, func(s player.Sample) (float64, bool) { return line.value(s) / kilobytes, true })
+		addCurve(p, line.name, i, false, variant.Samples, func(s player.Sample) (float64, bool) { return line.value(s) / kilobytes, true })
 	}
-	linear(p)
+	setLinearScale(p)
 	return p
 }
 
-func calls(variant player.Variant) *plot.Plot {
-	p := panel("store calls (1/s)")
-	curve(p, "store calls", 0, false, variant.Samples, func(s player.Sample) (float64, bool) { return s.StoreCalls, true })
-	linear(p)
+func storeCallsPanel(variant player.Variant) *plot.Plot {
+	p := newPanel("store calls (1/s)")
+	addCurve(p, "store calls", 0, false, variant.Samples, func(s player.Sample) (float64, bool) { return s.StoreCalls, true })
+	setLinearScale(p)
 	return p
 }
--- a/bench/plotter/plotter_test.go
+++ b/bench/plotter/plotter_test.go
@@ -16,8 +16,8 @@
 	"sycamorerun/bench/plotter"
 )
 
-// TestWrite guards against results that can't be plotted because nothing was
-// served, accepted or counted, and against a table that hides findings.
+// TestWrite guards against a failure to plot results without served requests,
+// accepted changes or counted bytes, and against a table that omits findings.
 func TestWrite(t *testing.T) {
 	is := is.New(t)
 	served := player.Summary{Requests: 4, Served: 3, WithinObjective: 2, Refused: 1, Median: sycamorerun.Duration(12 * time.Millisecond)}
@@ -42,7 +42,7 @@
 	table, err := os.ReadFile(filepath.Join(directory, "trial.md"))
 	is.NoErr(err)
 	for _, wanted := range []string{"| busy | status | 4 | 75.00 | 50.00 | 1 | 0 | 12.0 |", "broken promises in 9 attempts: once 2", "status-1 at n1", "| 2.0 |"} {
-		is.True(strings.Contains(string(table), wanted)) // the table has the figure
+		is.True(strings.Contains(string(table), wanted)) // the table contains the value
 	}
 	text, err := os.ReadFile(filepath.Join(directory, "trial.json"))
 	is.NoErr(err)
--- a/bench/plotter/table.go
+++ b/bench/plotter/table.go
@@ -11,7 +11,7 @@
 	"sycamorerun/bench/player"
 )
 
-// Table returns a result as Markdown tables with units in the heads.
+// Table returns a result as Markdown tables with units in the headers.
 func Table(result player.Result) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "## %s\n\n", result.Name)
@@ -19,80 +19,80 @@
 		fmt.Fprintf(&text, "%s\n\n", result.About)
 	}
 	fmt.Fprintf(&text, "Seed %d, %s for each variant.\n\n", result.Seed, time.Duration(result.Duration))
-	requests(&text, result)
-	phases(&text, result)
-	fleet(&text, result)
-	findings(&text, result)
+	writeRequests(&text, result)
+	writePhases(&text, result)
+	writeFleet(&text, result)
+	writeFindings(&text, result)
 	return text.String()
 }
 
-// row writes a row of a table.
-func row(text *strings.Builder, cells ...string) {
+// writeRow writes a table row.
+func writeRow(text *strings.Builder, cells ...string) {
 	text.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-// head writes the head of a table.
-func head(text *strings.Builder, cells ...string) {
-	row(text, cells...)
-	row(text, slices.Repeat([]string{"---"}, len(cells))...)
+// writeHeader writes a table header.
+func writeHeader(text *strings.Builder, cells ...string) {
+	writeRow(text, cells...)
+	writeRow(text, slices.Repeat([]string{"---"}, len(cells))...)
 }
 
-func milli(d sycamorerun.Duration) string {
+func formatMilliseconds(d sycamorerun.Duration) string {
 	return fmt.Sprintf("%.1f", float64(d)/milliseconds)
 }
 
-func percent(part, of int) string {
-	if of == 0 {
+func formatPercent(part, total int) string {
+	if total == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%.2f", 100*float64(part)/float64(of))
+	return fmt.Sprintf("%.2f", 100*float64(part)/float64(total))
 }
 
-// summary returns the cells of a kind of requests.
-func summary(s player.Summary) []string {
+// summaryCells returns the cells for the summary of a request kind.
+func summaryCells(s player.Summary) []string {
 	if s.Served == 0 {
-		return []string{fmt.Sprint(s.Requests), percent(0, s.Requests), "", fmt.Sprint(s.Refused), fmt.Sprint(s.Requests - s.Refused), "", "", ""}
+		return []string{fmt.Sprint(s.Requests), formatPercent(0, s.Requests), "", fmt.Sprint(s.Refused), fmt.Sprint(s.Requests - s.Refused), "", "", ""}
 	}
 	return []string{
-		fmt.Sprint(s.Requests), percent(s.Served, s.Requests), percent(s.WithinObjective, s.Requests), fmt.Sprint(s.Refused),
-		fmt.Sprint(s.Requests - s.Served - s.Refused), milli(s.Median), milli(s.P99), milli(s.Worst),
+		fmt.Sprint(s.Requests), formatPercent(s.Served, s.Requests), formatPercent(s.WithinObjective, s.Requests), fmt.Sprint(s.Refused),
+		fmt.Sprint(s.Requests - s.Served - s.Refused), formatMilliseconds(s.Median), formatMilliseconds(s.P99), formatMilliseconds(s.Worst),
 	}
 }
 
-var summaryHeads = []string{
+var summaryHeaders = []string{
 	"requests", "served %", "in time %", "not run", "unknown", "median ms", "p99 ms", "worst ms",
 }
 
-func requests(text *strings.Builder, result player.Result) {
-	head(text, append([]string{"variant", "kind"}, summaryHeads...)...)
+func writeRequests(text *strings.Builder, result player.Result) {
+	writeHeader(text, append([]string{"variant", "kind"}, summaryHeaders...)...)
 	for _, variant := range result.Variants {
 		for i, kind := range result.Kinds {
-			row(text, append([]string{variant.Name, kind}, summary(variant.Kinds[i])...)...)
+			writeRow(text, append([]string{variant.Name, kind}, summaryCells(variant.Kinds[i])...)...)
 		}
 	}
 	text.WriteString("\n")
 }
 
-// phases writes the spans between changes of the load, if it changes.
-func phases(text *strings.Builder, result player.Result) {
+// writePhases writes the summaries of the phases if any variant has several.
+func writePhases(text *strings.Builder, result player.Result) {
 	if !slices.ContainsFunc(result.Variants, func(v player.Variant) bool { return len(v.Phases) > 1 }) {
 		return
 	}
-	head(text, append([]string{"variant", "from s", "to s", "load", "kind"}, summaryHeads...)...)
+	writeHeader(text, append([]string{"variant", "from s", "to s", "load", "kind"}, summaryHeaders...)...)
 	for _, variant := range result.Variants {
 		for _, phase := range variant.Phases {
 			for i, kind := range result.Kinds {
 				cells := []string{variant.Name, fmt.Sprint(phase.From), fmt.Sprint(phase.To), phase.Name, kind}
-				row(text, append(cells, summary(phase.Kinds[i])...)...)
+				writeRow(text, append(cells, summaryCells(phase.Kinds[i])...)...)
 			}
 		}
 	}
 	text.WriteString("\n")
 }
 
-// fleet writes convergence, control bytes and the store's calls.
-func fleet(text *strings.Builder, result player.Result) {
-	head(text, "variant", "changes", "accepted", "acceptance median ms", "worst ms", "last node median ms", "worst ms", "last node with a fault, worst ms", "versions not everywhere",
+// writeFleet writes convergence times, control bytes and store calls.
+func writeFleet(text *strings.Builder, result player.Result) {
+	writeHeader(text, "variant", "changes", "accepted", "acceptance median ms", "worst ms", "last node median ms", "worst ms", "last node with a fault, worst ms", "versions not everywhere",
 		"between regions KB", "store to other regions KB", "between zones KB", "within zones KB", "store calls", "load average before", "after", "callers stalled s")
 	for _, variant := range result.Variants {
 		var accepted, last []sycamorerun.Duration
@@ -118,28 +118,29 @@
 			calls += sample.StoreCalls
 		}
 		cells := []string{variant.Name, fmt.Sprint(len(variant.Changes)), fmt.Sprint(len(accepted))}
-		cells = append(cells, middle(accepted)...)
-		cells = append(cells, middle(last)...)
-		cells = append(cells, milli(faulty), fmt.Sprint(missing))
+		cells = append(cells, medianAndMax(accepted)...)
+		cells = append(cells, medianAndMax(last)...)
+		cells = append(cells, formatMilliseconds(faulty), fmt.Sprint(missing))
 		for _, bytes := range []float64{cross, store, region, zone} {
 			cells = append(cells, fmt.Sprintf("%.1f", bytes/kilobytes))
 		}
-		row(text, append(cells, fmt.Sprintf("%.0f", calls), fmt.Sprintf("%.1f", variant.LoadBefore), fmt.Sprintf("%.1f", variant.LoadAfter), fmt.Sprintf("%.1f", time.Duration(variant.Stalled).Seconds()))...)
+		writeRow(text, append(cells, fmt.Sprintf("%.0f", calls), fmt.Sprintf("%.1f", variant.LoadBefore), fmt.Sprintf("%.1f", variant.LoadAfter), fmt.Sprintf("%.1f", time.Duration(variant.Stalled).Seconds()))...)
 	}
 	text.WriteString("\n")
 }
 
-// middle returns the median and the largest of times.
-func middle(times []sycamorerun.Duration) []string {
+// medianAndMax returns the median and the maximum of times as cells.
+func medianAndMax(times []sycamorerun.Duration) []string {
 	if len(times) == 0 {
 		return []string{"", ""}
 	}
 	slices.Sort(times)
-	return []string{milli(times[(len(times)-1)/2]), milli(times[len(times)-1])}
+	return []string{formatMilliseconds(times[(len(times)-1)/2]), formatMilliseconds(times[len(times)-1])}
 }
 
-// findings writes what the judge found.
-func findings(text *strings.Builder, result player.Result) {
+// writeFindings writes the number of broken promises and the first findings for
+// each promise.
+func writeFindings(text *strings.Builder, result player.Result) {
 	for _, variant := range result.Variants {
 		if len(variant.BrokenPromises) == 0 {
 			fmt.Fprintf(text, "Variant %s: no broken promise in %d attempts.\n", variant.Name, variant.Attempts)
