--- a/bench/converger/paused.go
+++ b/bench/converger/paused.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// rejoin is the time after a pause until the watchers have their roles
-	// and links again: a paused node counts as failed after at most 9 s, and
+	// recoveryWait is the time after a pause for the watchers to recover their
+	// roles and links: a paused node is considered failed after at most 9 s, and
 	// is listed again after one exchange.
-	rejoin = 15 * time.Second
-	// primaryWatch is the value of the metric on a region's primary watcher.
+	recoveryWait = 15 * time.Second
+	// primaryWatch is the value of the metric sycamorerun_distributor_watch at a
+	// region's primary watcher.
 	primaryWatch = 2
 )
 
-// pausedChanges pauses the primary watcher of each region right before a
-// change and resumes it afterwards. Each change goes through a running node of
-// the store's region.
-func pausedChanges(ctx context.Context, fleet *deployer.Fleet, c Case, result *Result) error {
+// applyPausedChanges applies changes while the primary watcher of each region is
+// paused, and resumes the watchers after each change. Changes are submitted to
+// running nodes.
+func applyPausedChanges(ctx context.Context, fleet *deployer.Fleet, c Case, result *Result) error {
 	for i := range c.Paused {
-		if err := pausedChange(ctx, fleet, c, i, result); err != nil {
+		if err := applyPausedChange(ctx, fleet, c, i, result); err != nil {
 			return err
 		}
-		deployer.Pause(ctx, rejoin)
+		deployer.Pause(ctx, recoveryWait)
 	}
 	return nil
 }
 
-func pausedChange(ctx context.Context, fleet *deployer.Fleet, c Case, number int, result *Result) error {
-	primaries, running, err := primaries(ctx, fleet)
+func applyPausedChange(ctx context.Context, fleet *deployer.Fleet, c Case, number int, result *Result) error {
+	primaries, running, err := findPrimaryWatchers(ctx, fleet)
 	if err != nil {
 		return err
 	}
@@ -45,28 +46,28 @@
 		}
 		defer func() { _ = node.Process.Signal(syscall.SIGCONT) }()
 	}
-	text := settings(number%teams, c.Services, fmt.Sprintf("/paused-%d", number))
-	via := running[(number*5)%len(running)]
-	outcome, err := fleet.Apply(ctx, team(number%teams), team(number%teams), text, via)
+	text := teamSettings(number%teamCount, c.Services, fmt.Sprintf("/paused-%d", number))
+	node := running[(number*5)%len(running)]
+	outcome, err := fleet.Apply(ctx, teamName(number%teamCount), teamName(number%teamCount), text, node)
 	if err != nil {
 		return err
 	}
 	if outcome.Status != "accepted" {
-		return errors.Errorf("change %d with paused watchers: %s %+v", number, outcome.Status, outcome.Faults)
+		return errors.Errorf("change %d with paused watchers not accepted: status %s, faults %+v", number, outcome.Status, outcome.Faults)
 	}
-	if err := fleet.WaitVersion(ctx, *outcome.Version, len(running), limit); err != nil {
+	if err := fleet.WaitVersion(ctx, *outcome.Version, len(running), convergenceTimeout); err != nil {
 		return err
 	}
 	worst := time.Duration(0)
 	for _, delay := range fleet.Observer.Delays(*outcome.Version) {
 		worst = max(worst, delay)
 	}
-	return errors.Wrap(result.Paused.RecordValue(max(1, worst.Microseconds())), "record delay")
+	return errors.Wrap(result.Paused.RecordValue(max(1, worst.Microseconds())), "record a convergence delay")
 }
 
-// primaries returns each region's primary watcher and the other nodes. It
-// fails when a region has none or several at the moment.
-func primaries(ctx context.Context, fleet *deployer.Fleet) (found, others []*deployer.Node, err error) {
+// findPrimaryWatchers returns the primary watcher of each region, and the other
+// nodes. It fails if a region currently has none or several.
+func findPrimaryWatchers(ctx context.Context, fleet *deployer.Fleet) (found, others []*deployer.Node, err error) {
 	regions := map[string]int{}
 	for _, node := range fleet.Nodes {
 		samples, err := scraper.Scrape(ctx, node.Operators)
@@ -82,7 +83,7 @@
 	}
 	for _, zone := range fleet.Spec.Zones {
 		if regions[zone.Region] != 1 {
-			return nil, nil, errors.Errorf("region %s has %d primary watchers", zone.Region, regions[zone.Region])
+			return nil, nil, errors.Errorf("region %s has %d primary watchers instead of one", zone.Region, regions[zone.Region])
 		}
 	}
 	return found, others, nil
--- a/bench/converger/table.go
+++ b/bench/converger/table.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 )
 
-// Write prints results as a Markdown table with units in the heads.
+// Write writes results as a Markdown table with units in the header.
 func Write(w io.Writer, results []Result) error {
-	heads := []string{
+	headers := []string{
 		"mode", "nodes", "services", "median ms", "p99 ms", "worst ms",
 		"content B/change zone", "region", "cross-region", "store cross B/change",
 		"idle B/s/node", "idle cross B/s",
@@ -20,19 +20,19 @@
 		"primaries paused: median of the last node ms", "worst ms",
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	row(table, heads...)
-	rule := make([]string, len(heads))
-	for i := range rule {
-		rule[i] = "---"
+	writeRow(table, headers...)
+	separators := make([]string, len(headers))
+	for i := range separators {
+		separators[i] = "---"
 	}
-	row(table, rule...)
+	writeRow(table, separators...)
 	for _, r := range results {
-		row(table, r.cells()...)
+		writeRow(table, r.cells()...)
 	}
 	return errors.Wrap(table.Flush(), "write table")
 }
 
-func row(w io.Writer, cells ...string) {
+func writeRow(w io.Writer, cells ...string) {
 	for _, cell := range cells {
 		fmt.Fprintf(w, "| %s\t", cell)
 	}
@@ -41,16 +41,16 @@
 
 func (r Result) cells() []string {
 	nodes, changes := float64(r.Case.Nodes), float64(r.Case.Changes)
-	idle := r.Idle.Duration.Seconds()
-	busy := r.Changes.Duration.Seconds()
+	idleSeconds := r.Idle.Duration.Seconds()
+	changeSeconds := r.Changes.Duration.Seconds()
 	ms := func(quantile float64) string {
 		return fmt.Sprintf("%.1f", float64(r.Delays.ValueAtQuantile(quantile))/1000)
 	}
-	// What the fleet uses without changes is not part of a change's cost.
+	// Subtracts the idle usage over the same time from the usage with changes.
 	perChange := func(total, idleTotal float64) string {
-		return fmt.Sprintf("%.0f", max(0, total-idleTotal/idle*busy)/changes)
+		return fmt.Sprintf("%.0f", max(0, total-idleTotal/idleSeconds*changeSeconds)/changes)
 	}
-	idleBytes := r.Idle.Bytes["zone"] + r.Idle.Bytes["region"] + r.Idle.Bytes["cross-region"]
+	idleBytes := r.Idle.WireBytes["zone"] + r.Idle.WireBytes["region"] + r.Idle.WireBytes["cross-region"]
 	network, worst := 0.0, NodeBytes{}
 	for _, node := range r.Idle.Network {
 		network += node.Bytes
@@ -64,26 +64,26 @@
 		}
 		return fmt.Sprintf("%.0f", float64(r.Paused.ValueAtQuantile(quantile))/1000)
 	}
-	cpu := float64(r.Changes.CPU) - float64(r.Idle.CPU)/idle*busy
-	const mega = 1e6
+	cpu := float64(r.Changes.CPU) - float64(r.Idle.CPU)/idleSeconds*changeSeconds
+	const megabyte = 1e6
 	return []string{
 		r.Case.Mode, fmt.Sprint(r.Case.Nodes), fmt.Sprint(r.Case.Services), ms(50), ms(99), ms(100),
-		perChange(r.Changes.Content["zone"], r.Idle.Content["zone"]),
-		perChange(r.Changes.Content["region"], r.Idle.Content["region"]),
-		perChange(r.Changes.Content["cross-region"], r.Idle.Content["cross-region"]),
-		perChange(r.Changes.StoreCross, r.Idle.StoreCross),
-		fmt.Sprintf("%.0f", idleBytes/idle/nodes),
-		fmt.Sprintf("%.0f", r.Idle.Bytes["cross-region"]/idle),
-		fmt.Sprintf("%.0f", network/idle/nodes),
-		fmt.Sprintf("%.0f", worst.Bytes/idle),
+		perChange(r.Changes.DistributorBytes["zone"], r.Idle.DistributorBytes["zone"]),
+		perChange(r.Changes.DistributorBytes["region"], r.Idle.DistributorBytes["region"]),
+		perChange(r.Changes.DistributorBytes["cross-region"], r.Idle.DistributorBytes["cross-region"]),
+		perChange(r.Changes.StoreCrossRegion, r.Idle.StoreCrossRegion),
+		fmt.Sprintf("%.0f", idleBytes/idleSeconds/nodes),
+		fmt.Sprintf("%.0f", r.Idle.WireBytes["cross-region"]/idleSeconds),
+		fmt.Sprintf("%.0f", network/idleSeconds/nodes),
+		fmt.Sprintf("%.0f", worst.Bytes/idleSeconds),
 		fmt.Sprint(worst.Links),
-		fmt.Sprintf("%.0f", r.Idle.NetworkCross/idle),
+		fmt.Sprintf("%.0f", r.Idle.NetworkCrossRegion/idleSeconds),
 		perChange(r.Changes.StoreCalls, r.Idle.StoreCalls),
-		fmt.Sprintf("%.1f", r.Idle.StoreCalls/idle),
-		fmt.Sprintf("%.2f", r.Idle.CPU.Seconds()/idle/nodes*100),
+		fmt.Sprintf("%.1f", r.Idle.StoreCalls/idleSeconds),
+		fmt.Sprintf("%.2f", r.Idle.CPU.Seconds()/idleSeconds/nodes*100),
 		fmt.Sprintf("%.2f", max(0, cpu)/float64(time.Millisecond)/changes/nodes),
-		fmt.Sprintf("%.1f", float64(r.Resident)/mega),
-		fmt.Sprintf("%.1f", float64(r.Worst)/mega),
+		fmt.Sprintf("%.1f", float64(r.MeanResident)/megabyte),
+		fmt.Sprintf("%.1f", float64(r.MaxResident)/megabyte),
 		paused(50), paused(100),
 	}
 }
