--- a/bench/cmd/srbench/main.go
+++ b/bench/cmd/srbench/main.go
@@ -17,29 +17,30 @@
 	"sycamorerun/bench/stresser"
 )
 
-// Exit codes: a promise was broken, and a command that could not do its work.
-// All other commands have only one kind of failure.
+// Exit codes. Only the command play exits with exitPromiseBroken; all commands
+// exit with exitFailed on other errors.
 const (
-	codeBroken = 1
-	codeFailed = 2
+	exitPromiseBroken = 1
+	exitFailed        = 2
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{Use: "srbench", Short: "Measure a fleet of real processes on loopback", SilenceUsage: true}
-	root.AddCommand(converge(), calls(), costs(), balance(), play())
+	root.AddCommand(newConvergeCommand(), newCallsCommand(), newCostsCommand(), newBalanceCommand(), newPlayCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
 		stop()
-		if errors.Is(err, errBroken) {
-			os.Exit(codeBroken)
+		if errors.Is(err, errPromiseBroken) {
+			os.Exit(exitPromiseBroken)
 		}
-		os.Exit(codeFailed)
+		os.Exit(exitFailed)
 	}
 }
 
-// converge returns the command that measures the distribution of changes.
-func converge() *cobra.Command {
+// newConvergeCommand returns the command that measures the distribution of
+// settings changes.
+func newConvergeCommand() *cobra.Command {
 	var (
 		modes    []string
 		nodes    []int
@@ -53,14 +54,14 @@
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			var err error
-			if c.Binaries, err = programs(); err != nil {
+			if c.Binaries, err = binaryDirectory(); err != nil {
 				return err
 			}
 			var results []converger.Result
 			for _, c.Services = range services {
 				for _, c.Nodes = range nodes {
 					for _, c.Mode = range modes {
-						result, err := run(command.Context(), c)
+						result, err := measureConvergence(command.Context(), c)
 						if err != nil {
 							return err
 						}
@@ -87,14 +88,15 @@
 	return command
 }
 
-// programs returns the directory of the programs, which is srbench's own.
-func programs() (string, error) {
+// binaryDirectory returns the directory of the binaries, which is the directory
+// of srbench.
+func binaryDirectory() (string, error) {
 	program, err := os.Executable()
-	return filepath.Dir(program), errors.Wrap(err, "find the programs")
+	return filepath.Dir(program), errors.Wrap(err, "find the directory of the binaries")
 }
 
-// calls returns the command that measures the data path.
-func calls() *cobra.Command {
+// newCallsCommand returns the command that measures the data path.
+func newCallsCommand() *cobra.Command {
 	var c stresser.Case
 	command := &cobra.Command{
 		Use:     "calls",
@@ -102,16 +104,16 @@
 		Example: "  srbench calls --rate 500 --duration 20s",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return inDirectory(&c, func() error {
+			return withDirectory(&c, func() error {
 				if err := stresser.Latency(command.Context(), c, os.Stdout); err != nil {
 					return err
 				}
 				fmt.Println()
-				leaves, err := stresser.Departures(command.Context(), c)
+				departures, err := stresser.Departures(command.Context(), c)
 				if err != nil {
 					return err
 				}
-				stresser.WriteLeaves(os.Stdout, leaves)
+				stresser.WriteDepartures(os.Stdout, departures)
 				fmt.Println()
 				return stresser.Overload(command.Context(), c, os.Stdout)
 			})
@@ -124,8 +126,9 @@
 	return command
 }
 
-// costs returns the command that measures what one call costs the nodes.
-func costs() *cobra.Command {
+// newCostsCommand returns the command that measures the resource usage of a call
+// at each node.
+func newCostsCommand() *cobra.Command {
 	var (
 		c     stresser.Case
 		calls int
@@ -137,7 +140,7 @@
 		Example: "  srbench costs --calls 2000 --file costs.json",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return inDirectory(&c, func() error {
+			return withDirectory(&c, func() error {
 				costs, err := stresser.Costs(command.Context(), c, calls)
 				if err != nil {
 					return err
@@ -161,8 +164,8 @@
 	return command
 }
 
-// balance returns the command that compares policies of balancing.
-func balance() *cobra.Command {
+// newBalanceCommand returns the command that compares load balancing policies.
+func newBalanceCommand() *cobra.Command {
 	var c stresser.Case
 	command := &cobra.Command{
 		Use:     "balance",
@@ -170,7 +173,7 @@
 		Example: "  srbench balance --duration 20s",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return inDirectory(&c, func() error {
+			return withDirectory(&c, func() error {
 				balances, err := stresser.Balancing(command.Context(), c)
 				if err != nil {
 					return err
@@ -186,24 +189,24 @@
 	return command
 }
 
-// inDirectory runs a measurement with the programs and a directory of its own.
-func inDirectory(c *stresser.Case, run func() error) error {
+// withDirectory calls run with the binaries and a temporary directory set in c.
+func withDirectory(c *stresser.Case, run func() error) error {
 	var err error
-	if c.Binaries, err = programs(); err != nil {
+	if c.Binaries, err = binaryDirectory(); err != nil {
 		return err
 	}
 	if c.Directory, err = os.MkdirTemp("", "srbench"); err != nil {
-		return errors.Wrap(err, "make a directory")
+		return errors.Wrap(err, "create a temporary directory")
 	}
 	defer os.RemoveAll(c.Directory)
 	return run()
 }
 
-// run measures one case in a directory of its own.
-func run(ctx context.Context, c converger.Case) (converger.Result, error) {
+// measureConvergence runs one case in a temporary directory.
+func measureConvergence(ctx context.Context, c converger.Case) (converger.Result, error) {
 	directory, err := os.MkdirTemp("", "srbench")
 	if err != nil {
-		return converger.Result{}, errors.Wrap(err, "make a directory")
+		return converger.Result{}, errors.Wrap(err, "create a temporary directory")
 	}
 	defer os.RemoveAll(directory)
 	c.Directory = directory
--- a/bench/cmd/srbench/play.go
+++ b/bench/cmd/srbench/play.go
@@ -14,11 +14,11 @@
 	"sycamorerun/bench/plotter"
 )
 
-// errBroken reports that the judge found a broken promise.
-var errBroken = errors.New("a promise was broken")
+// errPromiseBroken is returned when the judge found a broken promise.
+var errPromiseBroken = errors.New("a promise was broken")
 
-// play returns the command that plays experiments.
-func play() *cobra.Command {
+// newPlayCommand returns the command that plays experiments.
+func newPlayCommand() *cobra.Command {
 	var (
 		directory string
 		seed      uint64
@@ -34,11 +34,11 @@
 		Example: "  srbench play bench/experiments/store.yaml --out results",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, files []string) error {
-			experiments, err := parse(files)
+			experiments, err := parseFiles(files)
 			if err != nil || verify {
 				return err
 			}
-			binaries, err := programs()
+			binaries, err := binaryDirectory()
 			if err != nil {
 				return err
 			}
@@ -48,14 +48,14 @@
 				if command.Flags().Changed("seed") {
 					x.Seed = seed
 				}
-				found, err := playOne(command.Context(), p, x)
+				found, err := playExperiment(command.Context(), p, x)
 				if err != nil {
 					return err
 				}
 				broken += found
 			}
 			if broken > 0 {
-				return errBroken
+				return errPromiseBroken
 			}
 			return nil
 		},
@@ -67,14 +67,14 @@
 	return command
 }
 
-// parse reads all files and prints every fault.
-func parse(files []string) ([]experimenter.Experiment, error) {
+// parseFiles parses all files and prints all of their faults.
+func parseFiles(files []string) ([]experimenter.Experiment, error) {
 	var experiments []experimenter.Experiment
 	faulty := 0
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
-			return nil, errors.Wrap(err, "read the experiment")
+			return nil, errors.Wrap(err, "read the experiment file")
 		}
 		x, faults := experimenter.Parse(content)
 		for _, fault := range faults {
@@ -84,14 +84,14 @@
 		experiments = append(experiments, x)
 	}
 	if faulty > 0 {
-		return nil, errors.Errorf("%d faults in the experiments", faulty)
+		return nil, errors.Errorf("%d faults in the experiment files", faulty)
 	}
 	return experiments, nil
 }
 
-// playOne plays an experiment, writes its results and returns the number of
-// broken promises.
-func playOne(ctx context.Context, p *player.Player, x experimenter.Experiment) (int, error) {
+// playExperiment plays an experiment, writes its results and returns the number
+// of broken promises.
+func playExperiment(ctx context.Context, p *player.Player, x experimenter.Experiment) (int, error) {
 	result, err := p.Play(ctx, x)
 	if err != nil {
 		return 0, err
--- a/bench/stresser/balance.go
+++ b/bench/stresser/balance.go
@@ -16,10 +16,10 @@
 	"sycamorerun/bench/generator"
 )
 
-// Limits of the measurement of balancing.
+// Parameters of the balancing measurement.
 const (
-	// balanceSettings is the service; its queue and slots are those of today's
-	// deployments.
+	// balanceSettings are the settings of the service. Its queue and slots match
+	// current deployments.
 	balanceSettings = `team: quoting
 services:
   quote-desk: {slots: 6, queue: 12, connections: 130, timeout: 2s, idle: 1s, warmup: 10s}
@@ -27,59 +27,60 @@
   quotes: {hosts: [quotes.example], prefix: /, class: interactive, split: [{service: quote-desk, weight: 100}]}
 `
 	balanceSlots = 6
-	// usualLoad and highLoad are the calls that enter in a zone, as a part of
-	// what its upstreams can run.
-	usualLoad = 0.4
-	highLoad  = 1.5
-	// slowDelay is added to each call of the slow upstream, coldDelay to each
-	// of the cold one.
+	// normalLoad and excessLoad are the rates of calls that enter in a zone,
+	// relative to the capacity of its upstreams.
+	normalLoad = 0.4
+	excessLoad = 1.5
+	// slowDelay is the latency added to each call at the slow upstream, coldDelay
+	// at the cold upstream.
 	slowDelay = 300 * time.Millisecond
 	coldDelay = 50 * time.Millisecond
-	// falseSlots is what the misleading upstream announces, and falseLoad the
-	// load that it reports.
-	falseSlots = 1024
-	falseLoad  = 0.001
-	// spreadWait is how long the announced states take to reach every node.
-	spreadWait = 3 * time.Second
+	// misleadingSlots and misleadingLoad are the number of slots and the load that
+	// the misleading upstream announces.
+	misleadingSlots = 1024
+	misleadingLoad  = 0.001
+	// propagationWait is the time for announced states to reach every node.
+	propagationWait = 3 * time.Second
 )
 
-// Policies of the nodes' setting --balance.
+// Policies are the compared values of the node setting --balance.
 var Policies = []string{"load", "round-robin"}
 
-// Balance is what one policy did.
+// Balance is the result of one policy.
 type Balance struct {
 	Policy  string
 	Calls   int
 	Results map[sycamorerun.Result]int
 	Latency *hdrhistogram.Histogram
-	// Away and Near count the answered calls that left the zone in which they
-	// entered, and those that did not; by whether the zone is overloaded.
-	Away, Near map[bool]int
-	// Requests are the answered calls of each upstream.
+	// CrossZone and SameZone count the answered calls whose upstream is in another
+	// zone than the entry node or in the same zone, by whether the zone of the
+	// entry node is overloaded.
+	CrossZone, SameZone map[bool]int
+	// Requests is the number of answered calls by upstream.
 	Requests map[string]int
-	// Groups are the upstreams by what is special about them.
+	// Groups lists the upstreams by group.
 	Groups map[string][]string
 }
 
-// Groups of upstreams.
+// Groups of upstreams, which are also column headers.
 const (
-	groupUsual      = "usual"
+	groupNormal     = "usual"
 	groupOverloaded = "overloaded zone"
 	groupSlow       = "slow"
 	groupCold       = "cold"
 	groupMisleading = "misleading"
 )
 
-var groups = []string{groupUsual, groupOverloaded, groupSlow, groupCold, groupMisleading}
+var groups = []string{groupNormal, groupOverloaded, groupSlow, groupCold, groupMisleading}
 
 // Balancing compares the policies on 20 upstreams of one service in six zones
-// with callers at 24 nodes. One upstream is slow, one cold, one announces far
-// more slots than it has, each in a zone of its own; the first zone's callers
-// send more than its upstreams can run.
+// with callers at 24 nodes. One upstream is slow, one is cold, and one announces
+// far more slots than it has, each in a different zone. The callers of the first
+// zone exceed the capacity of its upstreams.
 func Balancing(ctx context.Context, c Case) ([]Balance, error) {
 	var results []Balance
 	for _, policy := range Policies {
-		result, err := c.balance(ctx, policy)
+		result, err := c.measureBalance(ctx, policy)
 		if err != nil {
 			return nil, errors.Wrap(err, policy)
 		}
@@ -88,9 +89,9 @@
 	return results, nil
 }
 
-func (c Case) balance(ctx context.Context, policy string) (Balance, error) {
+func (c Case) measureBalance(ctx context.Context, policy string) (Balance, error) {
 	const nodes = 4
-	// The last node of the last four zones has another service.
+	// The last node in each of the last four zones has another service.
 	var services []string
 	for i := range 6 * nodes {
 		service := "quote-desk"
@@ -109,12 +110,12 @@
 		return Balance{}, err
 	}
 	defer fleet.Stop()
-	if err := c.disturb(ctx, fleet); err != nil {
+	if err := c.configureUpstreams(ctx, fleet); err != nil {
 		return Balance{}, err
 	}
 	result := Balance{
-		Policy: policy, Results: map[sycamorerun.Result]int{}, Latency: hdrhistogram.New(1, timeout.Microseconds(), 3),
-		Away: map[bool]int{}, Near: map[bool]int{}, Requests: map[string]int{}, Groups: map[string][]string{},
+		Policy: policy, Results: map[sycamorerun.Result]int{}, Latency: hdrhistogram.New(1, callTimeout.Microseconds(), 3),
+		CrossZone: map[bool]int{}, SameZone: map[bool]int{}, Requests: map[string]int{}, Groups: map[string][]string{},
 	}
 	zones := map[string]string{}
 	capacity := map[string]float64{}
@@ -122,17 +123,17 @@
 		zones[node.Name] = node.Zone.Name
 		if node.Service == "quote-desk" {
 			capacity[node.Zone.Name] += balanceSlots / c.Work.Seconds()
-			result.Groups[group(i, nodes)] = append(result.Groups[group(i, nodes)], node.Name)
+			result.Groups[upstreamGroup(i, nodes)] = append(result.Groups[upstreamGroup(i, nodes)], node.Name)
 		}
 	}
 	overloaded := fleet.Nodes[0].Zone.Name
 	var targets []generator.Target
 	for _, node := range fleet.Nodes {
-		load := usualLoad
+		load := normalLoad
 		if node.Zone.Name == overloaded {
-			load = highLoad
+			load = excessLoad
 		}
-		targets = append(targets, through(node, load*capacity[node.Zone.Name]/nodes))
+		targets = append(targets, nodeTarget(node, load*capacity[node.Zone.Name]/nodes))
 	}
 	for i, r := range generator.Run(ctx, targets, c.Duration) {
 		result.Calls += r.Calls()
@@ -144,30 +145,30 @@
 		for upstream, count := range r.Upstreams {
 			result.Requests[upstream] += count
 			if zones[upstream] == zone {
-				result.Near[zone == overloaded] += count
+				result.SameZone[zone == overloaded] += count
 			} else {
-				result.Away[zone == overloaded] += count
+				result.CrossZone[zone == overloaded] += count
 			}
 		}
 	}
 	return result, nil
 }
 
-// disturb makes one upstream slow, one cold and one misleading, and waits until
-// every node can know it.
-func (c Case) disturb(ctx context.Context, fleet *deployer.Fleet) error {
-	// The others are no longer in their slow start.
+// configureUpstreams makes one upstream slow, one cold and one misleading, and
+// waits until the announced states have reached every node.
+func (c Case) configureUpstreams(ctx context.Context, fleet *deployer.Fleet) error {
+	// Waits for the end of the slow start (warmup) of all upstreams.
 	time.Sleep(10 * time.Second)
 	nodes := len(fleet.Nodes) / 6
 	for i, node := range fleet.Nodes {
 		var behavior map[string]any
-		switch group(i, nodes) {
+		switch upstreamGroup(i, nodes) {
 		case groupSlow:
 			behavior = map[string]any{"delay": slowDelay.Milliseconds()}
 		case groupCold:
 			behavior = map[string]any{"state": "cold", "delay": coldDelay.Milliseconds()}
 		case groupMisleading:
-			behavior = map[string]any{"slots": falseSlots, "load": falseLoad}
+			behavior = map[string]any{"slots": misleadingSlots, "load": misleadingLoad}
 		default:
 			continue
 		}
@@ -175,13 +176,13 @@
 			return err
 		}
 	}
-	time.Sleep(spreadWait)
+	time.Sleep(propagationWait)
 	return nil
 }
 
-// group returns what is special about the upstream of node i when each zone
-// has a number of nodes.
-func group(i, nodes int) string {
+// upstreamGroup returns the group of the upstream of node i, given the number of
+// nodes in each zone.
+func upstreamGroup(i, nodes int) string {
 	switch {
 	case i < nodes:
 		return groupOverloaded
@@ -192,11 +193,11 @@
 	case i == 3*nodes:
 		return groupMisleading
 	}
-	return groupUsual
+	return groupNormal
 }
 
-// WriteBalances writes a table of the calls and one of the requests of each
-// instance.
+// WriteBalances writes a table of the calls and a table of the answered calls of
+// each group of upstreams.
 func WriteBalances(w io.Writer, balances []Balance) {
 	fmt.Fprintln(w, "| policy | calls | not run | unknown | median ms | p99 ms | worst ms | leave the overloaded zone % | leave the other zones % |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -204,7 +205,7 @@
 		l := b.Latency
 		fmt.Fprintf(w, "| %s | %d | %d | %d | %.0f | %.0f | %.0f | %.1f | %.1f |\n", b.Policy, b.Calls,
 			b.Results[sycamorerun.NotRun], b.Results[sycamorerun.Unknown],
-			ms(l.ValueAtQuantile(50)), ms(l.ValueAtQuantile(99)), ms(l.Max()), b.share(true), b.share(false))
+			milliseconds(l.ValueAtQuantile(50)), milliseconds(l.ValueAtQuantile(99)), milliseconds(l.Max()), b.crossZonePercent(true), b.crossZonePercent(false))
 	}
 	fmt.Fprintln(w, "\nAnswered calls of each upstream (least, mean, most):")
 	fmt.Fprint(w, "\n| policy |")
@@ -215,22 +216,23 @@
 	for _, b := range balances {
 		fmt.Fprintf(w, "| %s |", b.Policy)
 		for _, name := range groups {
-			fmt.Fprintf(w, " %s |", b.spread(name))
+			fmt.Fprintf(w, " %s |", b.requestCounts(name))
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-func ms(micros int64) float64 { return float64(micros) / 1000 }
+func milliseconds(micros int64) float64 { return float64(micros) / 1000 }
 
-// share is the part of the calls in percent that left their zone.
-func (b Balance) share(overloaded bool) float64 {
-	away := float64(b.Away[overloaded])
-	return 100 * away / max(1, away+float64(b.Near[overloaded]))
+// crossZonePercent returns the percentage of answered calls that left their zone.
+func (b Balance) crossZonePercent(overloaded bool) float64 {
+	crossZone := float64(b.CrossZone[overloaded])
+	return 100 * crossZone / max(1, crossZone+float64(b.SameZone[overloaded]))
 }
 
-// spread describes the requests of the upstreams of a group.
-func (b Balance) spread(name string) string {
+// requestCounts formats the minimum, mean and maximum number of answered calls
+// of the upstreams in a group, or the total if there is at most one.
+func (b Balance) requestCounts(name string) string {
 	var counts []int
 	total := 0
 	for _, upstream := range b.Groups[name] {
--- a/bench/stresser/connection.go
+++ b/bench/stresser/connection.go
@@ -13,18 +13,20 @@
 	"sycamorerun/bench/scraper"
 )
 
-// callerConnections is the number of callers' connections that are kept open.
+// callerConnections is the number of caller connections that are kept open.
 const callerConnections = 1000
 
-// Connection is the memory that one idle caller's connection takes at a node.
+// Connection is the memory in bytes that an idle caller connection uses at a
+// node.
 type Connection struct {
-	// Heap and Stack are bytes in use by the Go runtime, Resident those of the
-	// process; each is the difference to before the connections, for one.
+	// Heap and Stack are in use by the Go runtime, Resident is the resident memory
+	// of the process. Each is the increase caused by all connections, divided by
+	// their number.
 	Heap, Stack, Resident float64
 }
 
-// Connections opens connections of callers to a node, makes one small call over
-// each and measures the node's memory while they are idle.
+// Connections opens caller connections to a node, sends one small call over each
+// and measures the memory of the node while they are idle.
 func Connections(ctx context.Context, c Case) (Connection, error) {
 	fleet, err := c.start(ctx, "--slots", "64")
 	if err != nil {
@@ -40,7 +42,7 @@
 	if err := callOnce(ctx, clients[0], node); err != nil {
 		return Connection{}, err
 	}
-	before, err := memory(ctx, node)
+	before, err := readMemory(ctx, node)
 	if err != nil {
 		return Connection{}, err
 	}
@@ -49,7 +51,7 @@
 			return Connection{}, err
 		}
 	}
-	after, err := memory(ctx, node)
+	after, err := readMemory(ctx, node)
 	const opened = callerConnections - 1
 	return Connection{
 		Heap: (after.Heap - before.Heap) / opened, Stack: (after.Stack - before.Stack) / opened,
@@ -70,26 +72,26 @@
 	defer response.Body.Close()
 	_, err = io.Copy(io.Discard, response.Body)
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = errors.Errorf("status %d", response.StatusCode)
+		err = errors.Errorf("call answered with status %d", response.StatusCode)
 	}
 	return err
 }
 
-// memory reads what a node has in use, a moment after its last call.
-func memory(ctx context.Context, node *deployer.Node) (Connection, error) {
-	time.Sleep(idleTime)
+// readMemory returns the memory that a node uses, after an idle period.
+func readMemory(ctx context.Context, node *deployer.Node) (Connection, error) {
+	time.Sleep(idleDuration)
 	samples, err := scraper.Scrape(ctx, node.Operators)
 	if err != nil {
 		return Connection{}, err
 	}
-	spent, err := node.Process.Usage()
+	usage, err := node.Process.Usage()
 	return Connection{
 		Heap: scraper.Sum(samples, "go_memstats_heap_inuse_bytes"), Stack: scraper.Sum(samples, "go_memstats_stack_inuse_bytes"),
-		Resident: float64(spent.Resident),
+		Resident: float64(usage.Resident),
 	}, err
 }
 
-// WriteConnections prints the memory of a connection.
+// WriteConnections writes the memory of a connection.
 func WriteConnections(w io.Writer, c Connection) {
 	fmt.Fprintf(w, "An idle caller's connection takes %.1f KB of heap, %.1f KB of stacks and %.1f KB of resident memory (%d connections, one small call each).\n",
 		c.Heap/1e3, c.Stack/1e3, c.Resident/1e3, callerConnections)
--- a/bench/stresser/cost.go
+++ b/bench/stresser/cost.go
@@ -20,82 +20,85 @@
 )
 
 const (
-	// smallBody and largeBody are the measured sizes.
+	// smallBody and largeBody are the measured body sizes in bytes.
 	smallBody = 1 << 10
 	largeBody = 1 << 20
-	// largeShare is the part of the calls that are made with a large body.
-	largeShare = 10
-	// idleTime is observed without calls; its rates are taken off.
-	idleTime = 3 * time.Second
+	// largeCallDivisor is the factor by which fewer calls with a large body are made.
+	largeCallDivisor = 10
+	// idleDuration is the period without calls that gives the baseline, which is
+	// subtracted from the usage under load.
+	idleDuration = 3 * time.Second
 )
 
-// Cost is what one call costs one node.
+// Cost is the resource usage of one call at one node.
 type Cost struct {
+	// Way is the way of the call to the upstream, Body the measured direction and
+	// body size, and Node the role of the node.
 	Way  string `json:"way"`
 	Body string `json:"body"`
 	Node string `json:"node"`
-	// Reads and Writes are system calls; Wakeups are context switches.
+	// Reads and Writes are numbers of system calls, Wakeups of context switches.
 	Reads   float64 `json:"reads"`
 	Writes  float64 `json:"writes"`
 	Wakeups float64 `json:"wakeups"`
-	// Allocations are objects on the heap, Allocated their bytes.
+	// Allocations is the number of heap objects, Allocated their size in bytes.
 	Allocations float64 `json:"allocations"`
 	Allocated   float64 `json:"allocated"`
-	// BytesRead and BytesWritten are what the system calls moved.
+	// BytesRead and BytesWritten are the bytes that the system calls transferred.
 	BytesRead    float64 `json:"bytesRead"`
 	BytesWritten float64 `json:"bytesWritten"`
-	// CPU is in microseconds.
+	// CPU is the processor time in microseconds.
 	CPU float64 `json:"cpu"`
 }
 
-// shapes are the measured calls, made to every way.
-var shapes = []struct {
-	name   string
-	target generator.Target
-	share  int
+// callTypes are the calls that are measured for each way.
+var callTypes = []struct {
+	name    string
+	target  generator.Target
+	divisor int
 }{
 	{"request 1 KiB", generator.Target{Method: http.MethodPost, Path: "/upload", Body: make([]byte, smallBody)}, 1},
 	{"response 1 KiB", generator.Target{Method: http.MethodGet, Path: fmt.Sprintf("/bytes?size=%d", smallBody)}, 1},
-	{"request 1 MiB", generator.Target{Method: http.MethodPost, Path: "/upload", Body: make([]byte, largeBody)}, largeShare},
-	{"response 1 MiB", generator.Target{Method: http.MethodGet, Path: fmt.Sprintf("/bytes?size=%d", largeBody)}, largeShare},
+	{"request 1 MiB", generator.Target{Method: http.MethodPost, Path: "/upload", Body: make([]byte, largeBody)}, largeCallDivisor},
+	{"response 1 MiB", generator.Target{Method: http.MethodGet, Path: fmt.Sprintf("/bytes?size=%d", largeBody)}, largeCallDivisor},
 }
 
-// Costs measures what calls cost the nodes, one call at a time.
+// Costs measures the resource usage of sequential calls at the nodes.
 func Costs(ctx context.Context, c Case, calls int) ([]Cost, error) {
 	fleet, err := c.start(ctx, "--slots", "64")
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.Stop()
-	beside, other := fleet.Nodes[0], fleet.Nodes[1]
+	local, remote := fleet.Nodes[0], fleet.Nodes[1]
 	ways := []struct {
 		name  string
 		nodes []*deployer.Node
 		roles []string
 	}{
-		{"own upstream", []*deployer.Node{beside}, []string{"caller's and upstream's"}},
-		{"another node", []*deployer.Node{other, beside}, []string{"caller's", "upstream's"}},
+		{"own upstream", []*deployer.Node{local}, []string{"caller's and upstream's"}},
+		{"another node", []*deployer.Node{remote, local}, []string{"caller's", "upstream's"}},
 	}
-	idle, err := during(ctx, []*deployer.Node{other, beside}, func() { time.Sleep(idleTime) })
+	idle, err := measureUsage(ctx, []*deployer.Node{remote, local}, func() { time.Sleep(idleDuration) })
 	if err != nil {
 		return nil, err
 	}
 	var costs []Cost
 	for _, way := range ways {
-		for _, shape := range shapes {
-			target, number := shape.target, max(1, calls/shape.share)
-			target.Address, target.Host, target.Timeout = way.nodes[0].Callers, "quotes.example", timeout
-			if err := answered(ctx, target, max(1, number/5)); err != nil {
+		for _, callType := range callTypes {
+			target, count := callType.target, max(1, calls/callType.divisor)
+			target.Address, target.Host, target.Timeout = way.nodes[0].Callers, "quotes.example", callTimeout
+			if err := requireAnswered(ctx, target, max(1, count/5)); err != nil {
 				return nil, err
 			}
 			var failed error
-			busy, err := during(ctx, way.nodes, func() { failed = answered(ctx, target, number) })
+			underLoad, err := measureUsage(ctx, way.nodes, func() { failed = requireAnswered(ctx, target, count) })
 			if failed != nil || err != nil {
 				return nil, cmp.Or(failed, err)
 			}
 			for i, node := range way.nodes {
-				cost := perCall(busy[node], idle[node], number)
-				cost.Way, cost.Body, cost.Node = way.name, shape.name, way.roles[i]
+				cost := perCall(underLoad[node], idle[node], count)
+				cost.Way, cost.Body, cost.Node = way.name, callType.name, way.roles[i]
 				costs = append(costs, cost)
 			}
 		}
@@ -103,70 +106,72 @@
 	return costs, nil
 }
 
-// answered makes calls, all of which must be answered.
-func answered(ctx context.Context, target generator.Target, calls int) error {
+// requireAnswered sends calls sequentially and fails unless all are answered.
+func requireAnswered(ctx context.Context, target generator.Target, calls int) error {
 	result := generator.Sequence(ctx, target, calls)
 	if count := result.Results[sycamorerun.Answered]; count != calls {
-		return errors.Errorf("%s: answered %d of %d", target.Path, count, calls)
+		return errors.Errorf("%s: %d of %d calls answered", target.Path, count, calls)
 	}
 	return nil
 }
 
-// perCall takes what the node uses without calls off.
-func perCall(busy, idle usage, calls int) Cost {
-	of := func(read func(usage) float64) float64 {
-		rate := read(idle) / idle.took.Seconds()
-		return max(0, read(busy)-rate*busy.took.Seconds()) / float64(calls)
+// perCall returns the cost of one call, after subtracting the usage of the idle
+// node over the same time.
+func perCall(underLoad, idle usage, calls int) Cost {
+	netPerCall := func(read func(usage) float64) float64 {
+		rate := read(idle) / idle.elapsed.Seconds()
+		return max(0, read(underLoad)-rate*underLoad.elapsed.Seconds()) / float64(calls)
 	}
 	return Cost{
-		Reads:        of(func(u usage) float64 { return float64(u.Reads) }),
-		Writes:       of(func(u usage) float64 { return float64(u.Writes) }),
-		Wakeups:      of(func(u usage) float64 { return float64(u.Switches) }),
-		Allocations:  of(func(u usage) float64 { return u.allocations }),
-		Allocated:    of(func(u usage) float64 { return u.allocated }),
-		BytesRead:    of(func(u usage) float64 { return float64(u.BytesRead) }),
-		BytesWritten: of(func(u usage) float64 { return float64(u.BytesWritten) }),
-		CPU:          of(func(u usage) float64 { return float64(u.cpu.Microseconds()) }),
+		Reads:        netPerCall(func(u usage) float64 { return float64(u.Reads) }),
+		Writes:       netPerCall(func(u usage) float64 { return float64(u.Writes) }),
+		Wakeups:      netPerCall(func(u usage) float64 { return float64(u.Switches) }),
+		Allocations:  netPerCall(func(u usage) float64 { return u.allocations }),
+		Allocated:    netPerCall(func(u usage) float64 { return u.allocated }),
+		BytesRead:    netPerCall(func(u usage) float64 { return float64(u.BytesRead) }),
+		BytesWritten: netPerCall(func(u usage) float64 { return float64(u.BytesWritten) }),
+		CPU:          netPerCall(func(u usage) float64 { return float64(u.cpu.Microseconds()) }),
 	}
 }
 
-// usage is what a node used in some time.
+// usage is the resource usage of a node: totals since its start, or the increase
+// over the time elapsed.
 type usage struct {
 	launcher.Counters
 	allocations, allocated float64
-	cpu, took              time.Duration
+	cpu, elapsed           time.Duration
 }
 
-// during returns what nodes use while run runs. Reading the counters of the
-// heap costs allocations itself, about as many each time.
-func during(ctx context.Context, nodes []*deployer.Node, run func()) (map[*deployer.Node]usage, error) {
+// measureUsage returns the resource usage of nodes while run executes. Reading
+// the heap counters allocates as well, about the same amount each time.
+func measureUsage(ctx context.Context, nodes []*deployer.Node, run func()) (map[*deployer.Node]usage, error) {
 	before, after := map[*deployer.Node]usage{}, map[*deployer.Node]usage{}
-	read := func(into map[*deployer.Node]usage) error {
+	readAll := func(target map[*deployer.Node]usage) error {
 		for _, node := range nodes {
 			var err error
-			if into[node], err = used(ctx, node); err != nil {
+			if target[node], err = readUsage(ctx, node); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	if err := read(before); err != nil {
+	if err := readAll(before); err != nil {
 		return nil, err
 	}
 	start := time.Now()
 	run()
-	took := time.Since(start)
-	if err := read(after); err != nil {
+	elapsed := time.Since(start)
+	if err := readAll(after); err != nil {
 		return nil, err
 	}
 	for node, end := range after {
-		after[node] = end.since(before[node], took)
+		after[node] = end.minus(before[node], elapsed)
 	}
 	return after, nil
 }
 
-func (u usage) since(start usage, took time.Duration) usage {
-	u.took = took
+func (u usage) minus(start usage, elapsed time.Duration) usage {
+	u.elapsed = elapsed
 	u.cpu -= start.cpu
 	u.allocations -= start.allocations
 	u.allocated -= start.allocated
@@ -178,7 +183,7 @@
 	return u
 }
 
-func used(ctx context.Context, node *deployer.Node) (usage, error) {
+func readUsage(ctx context.Context, node *deployer.Node) (usage, error) {
 	samples, err := scraper.Scrape(ctx, node.Operators)
 	if err != nil {
 		return usage{}, err
@@ -195,8 +200,8 @@
 	}, err
 }
 
-// WriteCosts writes a table, and the rows as JSON into a file unless its path
-// is empty.
+// WriteCosts writes a table, and the rows as JSON to a file unless its path is
+// empty.
 func WriteCosts(w io.Writer, costs []Cost, file string) error {
 	fmt.Fprintln(w, "| way | body | node | reads | writes | wake-ups | allocations | KB allocated | KB read | KB written | CPU µs |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
--- a/bench/stresser/leave.go
+++ b/bench/stresser/leave.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// leaveAfter is the time under load before the drain, leaveWait that after
-	// it.
-	leaveAfter = time.Second
-	leaveWait  = 5 * time.Second
-	// leaveWork is what the upstreams take for a call, so that some are in
-	// flight at any moment.
-	leaveWork = 20 * time.Millisecond
-	// leaveTimeout is beyond the time limits of leaveSettings.
-	leaveTimeout = 30 * time.Second
+	// departureDelay is the time under load before the departure, departureWait
+	// the time under load after it.
+	departureDelay = time.Second
+	departureWait  = 5 * time.Second
+	// departureWork is the execution time of a call at the upstreams, which keeps
+	// some calls in flight at any time.
+	departureWork = 20 * time.Millisecond
+	// departureTimeout exceeds the timeouts in departureSettings.
+	departureTimeout = 30 * time.Second
 )
 
-// leaveSettings have a queue and time limits that hold what waits while a busy
-// machine stops processes for a second. What is refused or lost then is due to
-// the leave and not to the machine: with the queue of settings, a load average
-// of 46 to 58 had up to 229 of 1,200 calls refused as queue-full. With one
-// attempt, a call that an upstream or its node lost is not hidden by another.
-const leaveSettings = `team: quoting
+// departureSettings have a queue and timeouts that tolerate a busy machine
+// stopping processes for a second, so that refused or lost calls are caused by
+// the departure: with the queue of serviceSettings, a load average of 46 to 58
+// caused up to 229 of 1,200 calls to be refused as queue-full. A single attempt
+// keeps a retry from hiding a call that an upstream or its node lost.
+const departureSettings = `team: quoting
 services:
   quote-desk: {slots: 6, queue: 1024, connections: 130, timeout: 20s, idle: 20s, warmup: 0s}
 routes:
@@ -45,26 +45,29 @@
     split: [{service: quote-desk, weight: 100}]
 `
 
-// Leave is what an upstream that leaves under load recorded.
-type Leave struct {
+// Departure is the result of an upstream's departure under load.
+type Departure struct {
+	// Way is the way in which the upstream departed.
 	Way string
-	// Before and After are the requests that started before the drain began
-	// and after it.
+	// Before and After are the numbers of requests that the upstream started
+	// before and after the departure began.
 	Before, After int
-	// Last is the time from the beginning of the drain to the last new request.
+	// Last is the time from the beginning of the departure to the last new
+	// request.
 	Last time.Duration
-	// Failed counts the calls at other nodes that were not answered, of Calls.
+	// Calls is the number of calls at other nodes, Failed the number of those that
+	// were not answered.
 	Failed, Calls int
-	// Results counts the calls at other nodes by what the callers were told.
+	// Results is the number of calls at other nodes by result.
 	Results map[sycamorerun.Result]int
-	// Reasons counts those that were not answered by the reason that was given.
+	// Reasons is the number of calls that were not answered by reason.
 	Reasons map[string]int
 }
 
-// leaves are the ways in which an upstream leaves.
-var leaves = []struct {
+// departureTriggers are the ways in which an upstream departs.
+var departureTriggers = []struct {
 	name  string
-	leave func(ctx context.Context, node *deployer.Node) error
+	start func(ctx context.Context, node *deployer.Node) error
 }{
 	{"upstream drains", func(ctx context.Context, node *deployer.Node) error {
 		return deployer.Put(ctx, node.Control, "/behavior", map[string]any{"state": "draining"})
@@ -74,63 +77,64 @@
 	}},
 }
 
-// Departures measures how long an upstream that leaves gets new requests, by its
-// own records. Every second zone has none of the service, so that calls come
-// from other zones too.
-func Departures(ctx context.Context, c Case) ([]Leave, error) {
-	var results []Leave
-	for _, way := range leaves {
-		result, err := c.leave(ctx, way.leave)
+// Departures measures how long a departing upstream receives new requests,
+// according to its own records. Every second zone has no upstream of the service,
+// so that some calls come from other zones.
+func Departures(ctx context.Context, c Case) ([]Departure, error) {
+	var results []Departure
+	for _, trigger := range departureTriggers {
+		result, err := c.measureDeparture(ctx, trigger.start)
 		if err != nil {
-			return nil, errors.Wrap(err, way.name)
+			return nil, errors.Wrap(err, trigger.name)
 		}
-		result.Way = way.name
+		result.Way = trigger.name
 		results = append(results, result)
 	}
 	return results, nil
 }
 
-func (c Case) leave(ctx context.Context, leave func(context.Context, *deployer.Node) error) (Leave, error) {
+func (c Case) measureDeparture(ctx context.Context, triggerDeparture func(context.Context, *deployer.Node) error) (Departure, error) {
 	fleet, err := c.deploy(ctx, deployer.Spec{
 		Zones: deployer.Today(1), Services: []string{"quote-desk", "other"}, Relays: true,
 		ZoneDelay: 500 * time.Microsecond, RegionDelay: 10 * time.Millisecond,
-		UpstreamArgs: []string{"--work", leaveWork.String(), "--slots", "64"},
-	}, leaveSettings)
+		UpstreamArgs: []string{"--work", departureWork.String(), "--slots", "64"},
+	}, departureSettings)
 	if err != nil {
-		return Leave{}, err
+		return Departure{}, err
 	}
 	defer fleet.Stop()
-	leaving := fleet.Nodes[2]
+	departing := fleet.Nodes[2]
 	var targets []generator.Target
 	for _, node := range fleet.Nodes {
-		if node != leaving {
-			target := through(node, c.Rate/float64(len(fleet.Nodes)-1))
-			target.Timeout = leaveTimeout
+		if node != departing {
+			target := nodeTarget(node, c.Rate/float64(len(fleet.Nodes)-1))
+			target.Timeout = departureTimeout
 			targets = append(targets, target)
 		}
 	}
-	// Calls spread over the members that the nodes know at the beginning.
-	generator.Run(ctx, targets, warmUp)
+	// Warm-up: at first, calls are distributed only over the members that the
+	// nodes already know.
+	generator.Run(ctx, targets, warmUpDuration)
 	done := make(chan []*generator.Result, 1)
-	go func() { done <- generator.Run(ctx, targets, leaveAfter+leaveWait) }()
-	time.Sleep(leaveAfter)
-	before, err := records(ctx, leaving)
+	go func() { done <- generator.Run(ctx, targets, departureDelay+departureWait) }()
+	time.Sleep(departureDelay)
+	before, err := readRecords(ctx, departing)
 	if err != nil {
-		return Leave{}, err
+		return Departure{}, err
 	}
-	at := time.Now()
-	if err := leave(ctx, leaving); err != nil {
-		return Leave{}, err
+	departedAt := time.Now()
+	if err := triggerDeparture(ctx, departing); err != nil {
+		return Departure{}, err
 	}
 	results := <-done
-	after, err := records(ctx, leaving)
+	after, err := readRecords(ctx, departing)
 	if err != nil {
-		return Leave{}, err
+		return Departure{}, err
 	}
-	result := Leave{Before: before.Requests, After: after.Requests - before.Requests, Last: max(0, after.Last.Sub(at)), Results: map[sycamorerun.Result]int{}, Reasons: map[string]int{}}
+	result := Departure{Before: before.Requests, After: after.Requests - before.Requests, Last: max(0, after.Last.Sub(departedAt)), Results: map[sycamorerun.Result]int{}, Reasons: map[string]int{}}
 	for _, r := range results {
-		for told, count := range r.Results {
-			result.Results[told] += count
+		for outcome, count := range r.Results {
+			result.Results[outcome] += count
 		}
 		for reason, count := range r.Reasons {
 			result.Reasons[reason] += count
@@ -141,21 +145,21 @@
 	return result, nil
 }
 
-// records reads what the upstream beside a node recorded.
-func records(ctx context.Context, node *deployer.Node) (recorder.Records, error) {
+// readRecords returns the records of a node's upstream.
+func readRecords(ctx context.Context, node *deployer.Node) (recorder.Records, error) {
 	var found recorder.Records
 	_, body, err := deployer.Get(ctx, node.Control, "/records")
 	if err != nil {
 		return found, err
 	}
-	return found, errors.Wrap(json.Unmarshal(body, &found), "records")
+	return found, errors.Wrap(json.Unmarshal(body, &found), "decode the records of the upstream")
 }
 
-// WriteLeaves writes a table.
-func WriteLeaves(w io.Writer, leaves []Leave) {
+// WriteDepartures writes a table of departures.
+func WriteDepartures(w io.Writer, departures []Departure) {
 	fmt.Fprintln(w, "| leaving | requests before | new requests after the drain began | last of them after ms | calls at other nodes not answered |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- |")
-	for _, l := range leaves {
-		fmt.Fprintf(w, "| %s | %d | %d | %d | %d of %d |\n", l.Way, l.Before, l.After, l.Last.Milliseconds(), l.Failed, l.Calls)
+	for _, d := range departures {
+		fmt.Fprintf(w, "| %s | %d | %d | %d | %d of %d |\n", d.Way, d.Before, d.After, d.Last.Milliseconds(), d.Failed, d.Calls)
 	}
 }
--- a/bench/stresser/stresser.go
+++ b/bench/stresser/stresser.go
@@ -1,5 +1,6 @@
-// Package stresser measures what the data path adds to a call and how it
-// behaves under overload, on a fleet of real processes.
+// Package stresser measures the data path on a fleet of real processes: added
+// latency, resource costs, load balancing, and behavior under overload and when
+// upstreams depart.
 package stresser
 
 import (
@@ -17,9 +18,9 @@
 	"sycamorerun/bench/generator"
 )
 
-// settings of the measured service; its queue and slots are those of today's
-// deployments.
-const settings = `team: quoting
+// serviceSettings are the settings of the measured service. Its queue and slots
+// match current deployments.
+const serviceSettings = `team: quoting
 services:
   quote-desk: {slots: 6, queue: 12, connections: 130, timeout: 2s, idle: 1s, warmup: 0s}
 routes:
@@ -36,37 +37,39 @@
 `
 
 const (
-	readyLimit = 20 * time.Second
-	warmUp     = 2 * time.Second
-	timeout    = 5 * time.Second
+	readyTimeout   = 20 * time.Second
+	warmUpDuration = 2 * time.Second
+	callTimeout    = 5 * time.Second
 )
 
-// Case is one measurement.
+// Case holds the parameters of a measurement.
 type Case struct {
 	Binaries  string
 	Directory string
-	// Rate is the calls per second to each target of Latency.
+	// Rate is the number of calls per second: to each target in Latency, and over
+	// all nodes in Departures.
 	Rate     float64
 	Duration time.Duration
-	// Work is the time that an upstream takes for a call, for Overload.
+	// Work is the execution time of a call at the upstream, in Overload and
+	// Balancing.
 	Work time.Duration
 }
 
-// start starts two nodes in one availability zone; the first one has an
-// upstream of the measured service, the second one another service.
+// start deploys two nodes in one availability zone. The upstream of the first
+// one belongs to the measured service, that of the second one to another service.
 func (c Case) start(ctx context.Context, upstreamArgs ...string) (*deployer.Fleet, error) {
 	return c.deploy(ctx, deployer.Spec{
 		Zones:    []deployer.Zone{{Name: "kigali-1", Region: "kigali", Nodes: 2}},
 		Services: []string{"quote-desk", "other"}, NodeArgs: []string{"--drain-delay", "0s"},
 		UpstreamArgs: upstreamArgs,
-	}, settings)
+	}, serviceSettings)
 }
 
-// deploy starts a fleet with the service's settings in force.
+// deploy starts a fleet and waits until the settings are in force.
 func (c Case) deploy(ctx context.Context, spec deployer.Spec, text string) (*deployer.Fleet, error) {
 	var err error
 	if spec.Directory, err = os.MkdirTemp(c.Directory, "fleet"); err != nil {
-		return nil, errors.Wrap(err, "make a directory")
+		return nil, errors.Wrap(err, "create the fleet directory")
 	}
 	spec.Binaries, spec.Upstreams = c.Binaries, true
 	fleet, err := deployer.New(spec)
@@ -92,14 +95,14 @@
 		return err
 	}
 	if outcome.Status != "accepted" {
-		return errors.Errorf("settings: %s %+v", outcome.Status, outcome.Faults)
+		return errors.Errorf("settings not accepted: status %s, faults %+v", outcome.Status, outcome.Faults)
 	}
-	probe := targets(fleet, 10)[:1]
+	probes := wayTargets(fleet, 10)[:1]
 	for _, node := range fleet.Nodes {
-		probe = append(probe, through(node, 10))
+		probes = append(probes, nodeTarget(node, 10))
 	}
-	return deployer.Eventually(ctx, readyLimit, func() bool {
-		for _, result := range generator.Run(ctx, probe, 100*time.Millisecond) {
+	return deployer.Eventually(ctx, readyTimeout, func() bool {
+		for _, result := range generator.Run(ctx, probes, 100*time.Millisecond) {
 			if result.Results[sycamorerun.Answered] != result.Calls() {
 				return false
 			}
@@ -108,39 +111,39 @@
 	})
 }
 
-// targets are a direct call, one through the node beside the upstream and one
-// through another node.
-func targets(fleet *deployer.Fleet, rate float64) []generator.Target {
-	local, peer := through(fleet.Nodes[0], rate), through(fleet.Nodes[1], rate)
+// wayTargets returns the targets for direct calls, calls through the upstream's
+// own node and calls through another node.
+func wayTargets(fleet *deployer.Fleet, rate float64) []generator.Target {
+	local, remote := nodeTarget(fleet.Nodes[0], rate), nodeTarget(fleet.Nodes[1], rate)
 	direct := local
 	direct.Name, direct.Address = "direct", fleet.Nodes[0].Upstream
-	local.Name, peer.Name = "node beside the upstream", "another node"
-	return []generator.Target{direct, local, peer}
+	local.Name, remote.Name = "node beside the upstream", "another node"
+	return []generator.Target{direct, local, remote}
 }
 
-// through are calls that enter at a node.
-func through(node *deployer.Node, rate float64) generator.Target {
+// nodeTarget returns the target for calls that enter the mesh at a node.
+func nodeTarget(node *deployer.Node, rate float64) generator.Target {
 	return generator.Target{
 		Name: node.Name, Address: node.Callers, Method: http.MethodGet, Host: "quotes.example", Path: "/quotes/1",
-		Rate: rate, Timeout: timeout,
+		Rate: rate, Timeout: callTimeout,
 	}
 }
 
-// Latency compares the three ways to an upstream in the same run and writes a
-// table.
+// Latency compares the latency of the three ways to an upstream in the same run
+// and writes a table.
 func Latency(ctx context.Context, c Case, w io.Writer) error {
 	fleet, err := c.start(ctx, "--slots", "64")
 	if err != nil {
 		return err
 	}
 	defer fleet.Stop()
-	generator.Run(ctx, targets(fleet, c.Rate), warmUp)
-	before, err := spent(fleet)
+	generator.Run(ctx, wayTargets(fleet, c.Rate), warmUpDuration)
+	before, err := processorTime(fleet)
 	if err != nil {
 		return err
 	}
-	results := generator.Run(ctx, targets(fleet, c.Rate), c.Duration)
-	after, err := spent(fleet)
+	results := generator.Run(ctx, wayTargets(fleet, c.Rate), c.Duration)
+	after, err := processorTime(fleet)
 	if err != nil {
 		return err
 	}
@@ -154,13 +157,13 @@
 			l.ValueAtQuantile(50), l.ValueAtQuantile(99), l.ValueAtQuantile(99.9), l.Max(),
 			l.ValueAtQuantile(50)-direct.ValueAtQuantile(50), l.ValueAtQuantile(99)-direct.ValueAtQuantile(99))
 	}
-	through := float64(results[1].Calls() + results[2].Calls())
-	fmt.Fprintf(w, "\nProcessor time of both nodes together: %.0f µs a call through a node.\n", float64((after-before).Microseconds())/through)
+	nodeCalls := float64(results[1].Calls() + results[2].Calls())
+	fmt.Fprintf(w, "\nProcessor time of both nodes together: %.0f µs a call through a node.\n", float64((after-before).Microseconds())/nodeCalls)
 	return nil
 }
 
-// spent is the processor time of all nodes so far.
-func spent(fleet *deployer.Fleet) (time.Duration, error) {
+// processorTime returns the total processor time that all nodes have used.
+func processorTime(fleet *deployer.Fleet) (time.Duration, error) {
 	var total time.Duration
 	for _, node := range fleet.Nodes {
 		usage, err := node.Process.Usage()
@@ -172,8 +175,8 @@
 	return total, nil
 }
 
-// Overload offers multiples of the upstream's capacity and writes a table of
-// what is answered, through a node and directly.
+// Overload offers multiples of the upstream's capacity, through a node and
+// directly, and writes a table of the answered calls.
 func Overload(ctx context.Context, c Case, w io.Writer) error {
 	fmt.Fprintln(w, "| way | offered of capacity | class | offered/s | answered/s | median ms | p99 ms | not-run/s | unknown/s |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -181,7 +184,7 @@
 	capacity := slots / c.Work.Seconds()
 	for _, factor := range []float64{0.8, 2, 5} {
 		for _, way := range []string{"node", "direct"} {
-			if err := c.overload(ctx, w, way, factor, capacity); err != nil {
+			if err := c.measureOverload(ctx, w, way, factor, capacity); err != nil {
 				return err
 			}
 		}
@@ -189,15 +192,15 @@
 	return nil
 }
 
-// overload measures one row pair: half of the calls are interactive, half
-// background.
-func (c Case) overload(ctx context.Context, w io.Writer, way string, factor, capacity float64) error {
+// measureOverload measures and writes two rows of the table: half of the calls
+// are interactive, half are background.
+func (c Case) measureOverload(ctx context.Context, w io.Writer, way string, factor, capacity float64) error {
 	fleet, err := c.start(ctx, "--work", c.Work.String(), "--slots", "6")
 	if err != nil {
 		return err
 	}
 	defer fleet.Stop()
-	all := targets(fleet, factor*capacity/2)
+	all := wayTargets(fleet, factor*capacity/2)
 	target := all[2]
 	if way == "direct" {
 		target = all[0]
