--- a/bench/plotter/plotter.go
+++ b/bench/plotter/plotter.go
@@ -166,7 +166,7 @@
 		}
 		line, points, err := plotter.NewLinePoints(segment)
 		if segment = nil; err != nil {
-			return // A value is no number.
+			return // A value is NaN or infinite.
 		}
 		line.Color = colors[number%len(colors)]
 		points.Color, points.Radius = line.Color, vg.Points(1)
@@ -304,7 +304,7 @@
 		}
 		scatter, err := plotter.NewScatter(group.points)
 		if err != nil {
-			continue // A value is no number.
+			continue // A value is NaN or infinite.
 		}
 		scatter.Color, scatter.Shape, scatter.Radius = colors[i], group.shape, vg.Points(2.2)
 		p.Add(scatter)
