--- a/bench/player/change.go
+++ b/bench/player/change.go
@@ -57,8 +57,8 @@
 	return ordered
 }
 
-// writeVersion submits one version. It reports false if the outcome remains
-// unknown, since the version could then be applied after a later one.
+// writeVersion submits the next marker version. It reports false if the outcome
+// remains unknown, since the version could then be applied after a later one.
 func (r *run) writeVersion(ctx context.Context, nodes []*deployer.Node) bool {
 	r.mutex.Lock()
 	r.lastMarker++
@@ -83,7 +83,7 @@
 		change.Status = outcome.Status
 	}
 	r.changes = append(r.changes, change)
-	r.acceptedAt = append(r.acceptedAt, end)
+	r.outcomeTimes = append(r.outcomeTimes, end)
 	return err == nil
 }
 
--- a/bench/player/event.go
+++ b/bench/player/event.go
@@ -212,9 +212,9 @@
 	return string(kind)
 }
 
-// setNetworkEvent starts or ends a network event. Ending an event heals all
-// links and then reapplies the other active events, so links are briefly
-// without faults.
+// setNetworkEvent starts or ends a network event. Ending an event removes the
+// faults of all links and then reapplies the other active events, so links are
+// briefly without faults.
 func (r *run) setNetworkEvent(number int, event experimenter.Event, active bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/bench/player/fleet.go
+++ b/bench/player/fleet.go
@@ -12,7 +12,7 @@
 	"sycamorerun/bench/experimenter"
 )
 
-// Teams of the settings.
+// Teams that own the settings of the load and the route of the marker requests.
 const (
 	teamLoad   = "load"
 	teamMarker = "marker"
@@ -70,16 +70,16 @@
 	return text.String()
 }
 
-// markerSettings returns the settings of the version with a number: a route
-// whose timeout encodes the number for callers.
+// markerSettings returns the settings of a marker version: a route whose timeout
+// encodes the number of the version for callers.
 func markerSettings(experiment experimenter.Experiment, number int) string {
 	return fmt.Sprintf("team: %s\nroutes:\n  %s: {hosts: [%s], prefix: /, repeat: always, rank: 1, timeout: %s, split: [{service: %s, weight: 100}]}\n",
 		teamMarker, experimenter.MarkerKind, hostName(experimenter.MarkerKind), caller.MarkerTimeout(number), experiment.Fleet.Services[0].Name)
 }
 
-// newCaller returns a caller that generates the load of the experiment and the
+// newLoadGenerator returns the generator of the experiment's load and of the
 // requests that read the version in force.
-func (r *run) newCaller() *caller.Generator {
+func (r *run) newLoadGenerator() *caller.Generator {
 	c := &caller.Generator{Seed: r.experiment.Seed}
 	for _, node := range r.fleet.Nodes {
 		c.Entries = append(c.Entries, caller.Entry{Name: node.Name, Zone: node.Zone.Name, Address: node.Callers})
--- a/bench/player/player.go
+++ b/bench/player/player.go
@@ -36,7 +36,7 @@
 	releaseTime = time.Second
 	// maxFindings is the maximum number of findings that a result lists.
 	maxFindings = 50
-	// markerRate is the rate, in requests per second and node, of the requests
+	// markerRate is the rate, in requests per second per node, of the requests
 	// that read the version in force.
 	markerRate = 1
 )
@@ -81,11 +81,11 @@
 	operator judge.OperatorActions
 	marks    []Mark
 	changes  []Change
-	// acceptedAt has the time at which the outcome of each change was known, in
+	// outcomeTimes has the time at which the outcome of each change was known, in
 	// the order of changes.
-	acceptedAt []time.Time
-	failures   []error
-	// lastMarker is the number of the last submitted version.
+	outcomeTimes []time.Time
+	failures     []error
+	// lastMarker is the number of the last submitted marker version.
 	lastMarker int
 	// storeRules are the active store rules and networkEvents the active network
 	// events, by the number of the event.
@@ -190,7 +190,7 @@
 // play runs the load, the events and the sampling, and waits until all of them
 // end.
 func (r *run) play(ctx context.Context, result *Variant) error {
-	r.load = r.newCaller()
+	r.load = r.newLoadGenerator()
 	sampler := newSampler(r.fleet)
 	r.start = time.Now()
 	runCtx, cancel := context.WithDeadline(ctx, r.start.Add(r.experiment.Duration))
@@ -260,7 +260,7 @@
 		}
 		// A timeout is reported in Change.Missing.
 		_ = deployer.Eventually(ctx, timeout, func() bool { return len(r.fleet.Observer.Times(change.Version)) >= len(names) })
-		change.setConvergence(r.acceptedAt[i], r.fleet.Observer.Times(change.Version), names, r.hadFault)
+		change.setConvergence(r.outcomeTimes[i], r.fleet.Observer.Times(change.Version), names, r.hadFault)
 	}
 }
 
--- a/bench/player/result.go
+++ b/bench/player/result.go
@@ -135,9 +135,12 @@
 type Change struct {
 	At float64 `json:"at"`
 	// Node is the node that received the first attempt.
-	Node    string `json:"node"`
-	Number  int    `json:"number"`
-	Status  string `json:"status"`
+	Node string `json:"node"`
+	// Number is the number of the marker version, which callers read.
+	Number int    `json:"number"`
+	Status string `json:"status"`
+	// Version is the settings version at which the change was accepted, or 0 if
+	// the outcome has none.
 	Version uint64 `json:"version"`
 	// AcceptanceLatency is the time from the submission until the operator
 	// received the outcome.
@@ -181,8 +184,8 @@
 	c.Median, c.Last = quantile(delays, 0.5), quantile(delays, 1)
 }
 
-// summarize returns a summary for each kind of the requests with a scheduled
-// start in [from, to).
+// summarize returns, for each kind, a summary of the requests whose scheduled
+// start is in [from, to).
 func summarize(kinds []string, records []caller.Record, from, to time.Time) []Summary {
 	summaries := make([]Summary, len(kinds))
 	latencies := make([][]time.Duration, len(kinds))
@@ -214,8 +217,8 @@
 	return summaries
 }
 
-// quantile returns the smallest value that is greater than or equal to at least
-// a share of the sorted values, or 0 if there are none.
+// quantile returns the nearest-rank quantile for a share from 0 to 1 of the sorted
+// values, or 0 if there are none.
 func quantile(sorted []time.Duration, share float64) sycamorerun.Duration {
 	if len(sorted) == 0 {
 		return 0
