--- a/bench/experimenter/action.go
+++ b/bench/experimenter/action.go
@@ -47,11 +47,11 @@
 	Shed   EventKind = "shed"
 	Silent EventKind = "silent"
 	Drain  EventKind = "drain"
-	// Fail, Drop, Truncate, Surplus, Extra and Reset are upstream behaviors that
-	// affect Share of the requests: status 500 while the health endpoint reports
+	// Fail, Drop, Truncate, Surplus and Extra are upstream behaviors that affect
+	// Share of the requests: status 500 while the health endpoint reports
 	// healthy, execution without a response, a truncated response, extra bytes
-	// after the response, a duplicate response, and a connection reset when
-	// slots and queue are full.
+	// after the response, and a duplicate response. Reset resets the connection
+	// of each request that arrives while slots and queue are full.
 	Fail     EventKind = "fail"
 	Drop     EventKind = "drop"
 	Truncate EventKind = "truncate"
@@ -63,8 +63,8 @@
 // fieldRules defines the fields of an event kind. All kinds have at, and on
 // unless noSelection is set.
 type fieldRules struct {
-	// duration (the field for), factor, every and delay make the field required;
-	// share makes it optional.
+	// duration (the field for), factor, every and delay make the field of that
+	// name required; share makes the field share optional.
 	duration, factor, every, delay, share bool
 	// selectsKinds means that on lists request kinds, selectsZones that it lists
 	// availability zones or regions, and noSelection that on is not allowed.
@@ -114,8 +114,9 @@
 	return k == Slow || k == Shed || k == Silent || k == Drain || k.IsRequestBehavior()
 }
 
-// IsRequestBehavior reports whether the event is a behavior of upstreams whose
-// Share applies to requests instead of nodes.
+// IsRequestBehavior reports whether the event is a behavior of upstreams that
+// affects single requests, so that Share, if allowed, applies to requests instead
+// of nodes.
 func (k EventKind) IsRequestBehavior() bool {
 	return k == Fail || k == Drop || k == Truncate || k == Surplus || k == Extra || k == Reset
 }
--- a/bench/experimenter/reader.go
+++ b/bench/experimenter/reader.go
@@ -35,7 +35,7 @@
 	numberPattern = regexp.MustCompile(`^[0-9]+(\.[0-9]+)?$`)
 )
 
-// decodeFunc reads a value from a node and reports its faults to r.
+// decodeFunc reads a value from a YAML node and reports its faults to r.
 type decodeFunc func(r *reader, node *yaml.Node, path string)
 
 // field defines how a field of an object is read.
--- a/bench/experimenter/verify.go
+++ b/bench/experimenter/verify.go
@@ -91,6 +91,8 @@
 	// MarkerKind is the request kind with which callers read the version in
 	// force.
 	MarkerKind = "marker"
-	// MaxChanges is the number of versions that callers can distinguish.
+	// MaxChanges bounds the settings changes of a run. It is below
+	// caller.MaxMarkerVersion, the number of versions that callers can
+	// distinguish.
 	MaxChanges = 800
 )
