--- a/bench/stresser/balance.go
+++ b/bench/stresser/balance.go
@@ -52,9 +52,9 @@
 	Calls   int
 	Results map[sycamorerun.Result]int
 	Latency *hdrhistogram.Histogram
-	// CrossZone and SameZone count the answered calls whose upstream is in another
-	// zone than the entry node or in the same zone, by whether the zone of the
-	// entry node is overloaded.
+	// CrossZone and SameZone count the answered calls whose upstream is in a
+	// different zone from the entry node, or in the same zone. The key true is for
+	// calls that entered in the overloaded zone.
 	CrossZone, SameZone map[bool]int
 	// Requests is the number of answered calls by upstream.
 	Requests map[string]int
--- a/bench/stresser/cost.go
+++ b/bench/stresser/cost.go
@@ -23,7 +23,7 @@
 	// smallBody and largeBody are the measured body sizes in bytes.
 	smallBody = 1 << 10
 	largeBody = 1 << 20
-	// largeCallDivisor is the factor by which fewer calls with a large body are made.
+	// largeCallDivisor divides the number of calls with a large body.
 	largeCallDivisor = 10
 	// idleDuration is the period without calls that gives the baseline, which is
 	// subtracted from the usage under load.
@@ -37,7 +37,8 @@
 	Way  string `json:"way"`
 	Body string `json:"body"`
 	Node string `json:"node"`
-	// Reads and Writes are numbers of system calls, Wakeups of context switches.
+	// Reads and Writes are the numbers of system calls, Wakeups is the number of
+	// context switches.
 	Reads   float64 `json:"reads"`
 	Writes  float64 `json:"writes"`
 	Wakeups float64 `json:"wakeups"`
--- a/bench/stresser/leave.go
+++ b/bench/stresser/leave.go
@@ -58,9 +58,9 @@
 	// Calls is the number of calls at other nodes, Failed the number of those that
 	// were not answered.
 	Failed, Calls int
-	// Results is the number of calls at other nodes by result.
+	// Results counts the calls at other nodes by result.
 	Results map[sycamorerun.Result]int
-	// Reasons is the number of calls that were not answered by reason.
+	// Reasons counts the calls that were not answered, by reason.
 	Reasons map[string]int
 }
 
--- a/bench/stresser/stresser.go
+++ b/bench/stresser/stresser.go
@@ -56,7 +56,8 @@
 }
 
 // start deploys two nodes in one availability zone. The upstream of the first
-// one belongs to the measured service, that of the second one to another service.
+// node belongs to the measured service, the upstream of the second node to another
+// service.
 func (c Case) start(ctx context.Context, upstreamArgs ...string) (*deployer.Fleet, error) {
 	return c.deploy(ctx, deployer.Spec{
 		Zones:    []deployer.Zone{{Name: "kigali-1", Region: "kigali", Nodes: 2}},
@@ -175,8 +176,8 @@
 	return total, nil
 }
 
-// Overload offers multiples of the upstream's capacity, through a node and
-// directly, and writes a table of the answered calls.
+// Overload generates load at multiples of the upstream's capacity, through a node
+// and directly, and writes a table of the answered calls.
 func Overload(ctx context.Context, c Case, w io.Writer) error {
 	fmt.Fprintln(w, "| way | offered of capacity | class | offered/s | answered/s | median ms | p99 ms | not-run/s | unknown/s |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
