--- a/bench/plotter/plotter.go
+++ b/bench/plotter/plotter.go
@@ -29,8 +29,8 @@
 	// It keeps curves clear of event labels and legends.
 	headroom = 1.12
 	fontSize = 8
-	// milliseconds and kilobytes convert nanoseconds and bytes to the units of the
-	// axes.
+	// milliseconds and kilobytes are the divisors that convert nanoseconds and
+	// bytes to the units of plots and tables.
 	milliseconds = 1e6
 	kilobytes    = 1e3
 )
--- a/bench/plotter/table.go
+++ b/bench/plotter/table.go
@@ -26,12 +26,11 @@
 	return text.String()
 }
 
-// writeRow writes a table row.
 func writeRow(text *strings.Builder, cells ...string) {
 	text.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-// writeHeader writes a table header.
+// writeHeader writes the header row and the separator row of a table.
 func writeHeader(text *strings.Builder, cells ...string) {
 	writeRow(text, cells...)
 	writeRow(text, slices.Repeat([]string{"---"}, len(cells))...)
