--- a/node/distributor/serve.go
+++ b/node/distributor/serve.go
@@ -71,9 +71,8 @@
 }
 
 // crossRegionDelay returns an additional delay for pulls from a peer in another
-// region that is linked only in the second tree. The region's first member in the
-// first tree pulls first, so that the content is sent only once between the
-// regions.
+// region that is linked only in the second tree. The region's root in the first
+// tree pulls first, so that the content is sent only once between the regions.
 func (d *Distributor) crossRegionDelay(peer string) time.Duration {
 	extra := time.Duration(0)
 	for _, link := range d.Plan().Links {
--- a/node/distributor/survey.go
+++ b/node/distributor/survey.go
@@ -61,8 +61,8 @@
 	c.Unreachable = c.Unreachable[:min(len(c.Unreachable), maxLagging)]
 }
 
-// Survey counts the versions in force in the fleet. It queries the first member
-// of each region, which queries its descendants in the first tree.
+// Survey counts the versions in force in the fleet. It queries the root of
+// each region, which queries its descendants in the first tree.
 func (d *Distributor) Survey(ctx context.Context) (Convergence, error) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
--- a/node/tracker/contact.go
+++ b/node/tracker/contact.go
@@ -18,7 +18,7 @@
 	// seedsPerRound is the number of seeds that one round tries.
 	seedsPerRound = 3
 	// reconnectingNodes is the expected number of nodes on each side of a
-	// partition that try to reach a failed node in one heal interval. It bounds
+	// partition that try to reconnect to a failed node in one interval. It bounds
 	// the dials to a failed node's address independently of the size of the
 	// fleet.
 	reconnectingNodes = 16
@@ -89,9 +89,9 @@
 
 // discover looks for groups of nodes that this node has no records of. Nodes
 // that start at the same time can form separate groups: each node has a link
-// within its group and therefore contacts no more seeds. Only the first member
-// of an availability zone runs discovery, so that the seeds are read once per
-// zone and interval.
+// within its group and therefore contacts no more seeds. Only the root of an
+// availability zone runs discovery, so that the seeds are read once per zone and
+// interval.
 func (t *Tracker) discover(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		bound := t.timing.maxDiscoveryInterval
@@ -169,7 +169,7 @@
 }
 
 // probeReportedZones probes the zones that other zones report as unreachable,
-// if this node is the first member of its availability zone.
+// if this node is the root of its availability zone.
 func (t *Tracker) probeReportedZones(ctx context.Context) {
 	for zone, members := range t.unconfirmedZones() {
 		unreachable := t.probe(ctx, members)
--- a/node/tracker/timing.go
+++ b/node/tracker/timing.go
@@ -35,7 +35,7 @@
 	// nodes and unreachable zones.
 	healInterval time.Duration
 	// minDiscoveryInterval and maxDiscoveryInterval bound the intervals at
-	// which the first member of an availability zone reads the seeds.
+	// which the root of an availability zone reads the seeds.
 	minDiscoveryInterval, maxDiscoveryInterval time.Duration
 	// linkLinger is how long a link that is no longer planned stays open, so
 	// that an exchange can finish.
@@ -56,7 +56,7 @@
 	healInterval:         5 * time.Second,
 	minDiscoveryInterval: time.Second,
 	// Four reads in the first 15 s join groups that formed at startup. After
-	// that the first member of each zone reads the seeds every 12 s on average.
+	// that the root of each zone reads the seeds every 12 s on average.
 	maxDiscoveryInterval: 16 * time.Second,
 	linkLinger:           10 * time.Second,
 }
--- a/node/tracker/tracker.go
+++ b/node/tracker/tracker.go
@@ -63,7 +63,7 @@
 
 	mu      sync.Mutex
 	running bool
-	// seed is set if this node is the first member of its availability zone.
+	// seed is set if this node is the root of its availability zone in tree 0.
 	seed          bool
 	table         *table
 	links         map[string]*link
