--- a/node/balancer/tier.go
+++ b/node/balancer/tier.go
@@ -119,8 +119,8 @@
 
 func (t *tier) add(c *candidate) { t.candidates = append(t.candidates, c) }
 
-// evaluate sets the load, capacity and weight of the candidates and of the tier. The
-// mean of the fresh reports stands in for missing and stale ones.
+// evaluate sets the load, capacity and weight of the candidates and of the tier. For
+// missing and stale reports, the mean of the fresh ones is used.
 func (t *tier) evaluate(now time.Time, warmup time.Duration) {
 	var sum, weights float64
 	for _, c := range t.candidates {
@@ -235,8 +235,8 @@
 		if spare <= 0 {
 			continue
 		}
-		excess := spilloverRanges[next-1].share(near.load / near.capacity)
-		share = max(share, excess*spare/(spare+near.spareCapacity()))
+		rangeShare := spilloverRanges[next-1].share(near.load / near.capacity)
+		share = max(share, rangeShare*spare/(spare+near.spareCapacity()))
 	}
 	return share
 }
--- a/node/connector/limits.go
+++ b/node/connector/limits.go
@@ -15,9 +15,9 @@
 	Ping time.Duration
 	// CallPing is the silence after which a session with a waiting call is pinged.
 	// PongTimeout is the time after that ping until a replacement is dialled; the
-	// session is closed if the peer is then heard on another session only. PongTimeout
-	// covers a round trip between regions of up to 100 ms and a peer that gets no
-	// CPU time for half a second.
+	// session is closed if data from the peer then arrives on another session only.
+	// PongTimeout covers a round trip between regions of up to 100 ms and a peer
+	// that gets no CPU time for half a second.
 	CallPing, PongTimeout time.Duration
 	// Stall is the silence after which a session is closed.
 	Stall time.Duration
--- a/node/connector/probe.go
+++ b/node/connector/probe.go
@@ -14,8 +14,8 @@
 	// so that a process resumed after a pause reads pending data first.
 	suspectChecks = 7
 	// confirmChecks is the number of further checks without received data after
-	// the peer was heard on another session. A response that the peer sent earlier
-	// on this session is read within them.
+	// data from the peer arrived on another session. A response that the peer sent
+	// earlier on this session is read within them.
 	confirmChecks = 2
 )
 
@@ -25,7 +25,7 @@
 	// suspectedAt is the time when the replacement was dialled.
 	suspectedAt time.Time
 	// silentChecks counts the checks without received data since the ping,
-	// confirmations those since the peer was heard on another session.
+	// confirmations those since data from the peer arrived on another session.
 	silentChecks, confirmations int
 }
 
@@ -54,8 +54,8 @@
 )
 
 // nextProbe returns the new state, the action and the time until the next check.
-// It closes a session only if the peer is heard on another one, since a paused
-// peer responds on neither.
+// It closes a session only if data from the peer arrives on another one, since a
+// paused peer responds on neither.
 func (l Limits) nextProbe(now time.Time, p probeState, o observation) (probeState, probeAction, time.Duration) {
 	interval := l.PongTimeout / suspectChecks
 	if !o.waiting {
--- a/node/deduplicator/exchange_test.go
+++ b/node/deduplicator/exchange_test.go
@@ -549,8 +549,8 @@
 }
 
 // TestResultAfterTransfer guards against the loss of results of requests that are
-// running when their keys are handed over. Without the result, a repetition at the
-// new owner is uncertain.
+// running when their keys are handed over. Without the result, a retry at the new
+// owner is uncertain.
 func TestResultAfterTransfer(t *testing.T) {
 	cases := map[string]func(s *service) bool{
 		"to the next owner": func(s *service) bool { ok := s.leave("a"); s.announce(); return ok },
--- a/node/deduplicator/keys.go
+++ b/node/deduplicator/keys.go
@@ -19,8 +19,8 @@
 }
 
 // keys holds the records of idempotency keys. An expired record is replaced by a
-// tombstone, the hash of its key, so that a late repetition of the request is
-// reported as uncertain and does not run.
+// tombstone, the hash of its key, so that a late retry of the request is reported
+// as uncertain and does not run.
 type keys struct {
 	records        map[string]*record
 	finished       queue[string]
--- a/node/forwarder/failure_test.go
+++ b/node/forwarder/failure_test.go
@@ -825,7 +825,7 @@
 	}
 }
 
-// Guards against repetitions outside of the retry budget when a kept connection
+// Guards against retries outside of the retry budget when a kept connection
 // breaks. http.Transport makes them for requests that it considers idempotent.
 func TestTransportDoesNotRepeat(t *testing.T) {
 	cases := map[string]struct {
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -119,7 +119,7 @@
 	limits atomic.Pointer[limits]
 	drain  drain
 	pool   pool
-	// refusals remembers the calls that were refused here.
+	// refusals holds the calls that this node refused.
 	refusals *refusalCache
 	// idlePeerStreams counts the streams of peers that wait for their next call.
 	idlePeerStreams atomic.Int64
--- a/node/forwarder/reason.go
+++ b/node/forwarder/reason.go
@@ -98,7 +98,7 @@
 func (f *failure) status() int {
 	if f.reason == reasonBodyTooLarge {
 		// This holds also if the body was streamed and the upstream may have
-		// seen a part of it, since a repetition would be refused again.
+		// seen a part of it, since a retry would be refused again.
 		return http.StatusRequestEntityTooLarge
 	}
 	if f.result == sycamorerun.NotRun {
--- a/node/forwarder/refusals.go
+++ b/node/forwarder/refusals.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxRefusedCalls bounds the refused calls that are remembered.
+	// maxRefusedCalls is the maximum number of refused calls in a refusalCache.
 	maxRefusedCalls = 4096
-	// deadlineTolerance is how much later the deadline of a repetition may be
-	// than that of the refused call, since callers round their timeouts and
-	// their clocks differ from this node's.
+	// deadlineTolerance is how much later the deadline of a retry may be than
+	// that of the refused call, since callers round their timeouts and their
+	// clocks differ from this node's.
 	deadlineTolerance = 100 * time.Millisecond
 )
 
-// refusalCache remembers refused calls by method, host and target. Callers
-// repeat a refused call at the same node, under a new id. The age of a repeated
-// call counts from its first arrival, as does its caller's latency objective.
+// refusalCache holds refused calls by method, host and target. Callers retry a
+// refused call at the same node, under a new id. The age of a retried call
+// counts from its first arrival, as does its caller's latency objective.
 type refusalCache struct {
 	seed  maphash.Seed
 	mutex sync.Mutex
@@ -38,8 +38,8 @@
 	return maphash.Comparable(r.seed, [3]string{c.method, c.host, c.target})
 }
 
-// add remembers c, which is refused at now. Calls without a caller's deadline
-// are not remembered, since their repetitions can't be told from other calls.
+// add stores c, which is refused at now. Calls without a caller's deadline are
+// not stored, since their retries can't be distinguished from other calls.
 func (r *refusalCache) add(now time.Time, c *call) {
 	if !now.Before(c.callerDeadline) {
 		return
@@ -59,9 +59,9 @@
 	r.calls[r.key(c)] = refusedCall{arrived: c.arrived, callerDeadline: c.callerDeadline}
 }
 
-// takeArrival returns and forgets the arrival of the refused call that c
-// repeats. The deadline of a repetition is no later than that of the refused
-// call.
+// takeArrival removes the refused call that c retries and returns its arrival.
+// Apart from deadlineTolerance, the deadline of a retry is no later than that of
+// the refused call.
 func (r *refusalCache) takeArrival(now time.Time, c *call) (time.Time, bool) {
 	if c.callerDeadline.IsZero() {
 		return time.Time{}, false
--- a/node/forwarder/refusals_test.go
+++ b/node/forwarder/refusals_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a call that is repeated after a refusal but counts as new, and
-// against another call for the same target that counts as a repetition.
+// Guards against a call that is retried after a refusal but counts as new, and
+// against another call for the same target that counts as a retry.
 func TestRefusalCache(t *testing.T) {
 	start := time.Unix(1000, 0)
 	first := call{method: "GET", host: "a.example", target: "/x", arrived: start, callerDeadline: start.Add(2 * time.Second)}
@@ -43,7 +43,7 @@
 			if ok {
 				is.Equal(arrived, start)
 				_, ok = r.takeArrival(now, &next)
-				is.True(!ok) // each refusal counts for one repetition
+				is.True(!ok) // each refusal counts for one retry
 			}
 		})
 	}
--- a/node/forwarder/silent_test.go
+++ b/node/forwarder/silent_test.go
@@ -110,8 +110,8 @@
 }
 
 // Guards against a call that waits for seconds on a session to a peer that
-// became silent although new sessions work, and against the repetition of a call
-// that may have run.
+// became silent although new sessions work, and against a retry of a call that
+// may have run.
 func TestCallOnSilentSession(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
--- a/node/limiter/queue.go
+++ b/node/limiter/queue.go
@@ -78,7 +78,7 @@
 	return a.objectiveDeadline().Before(b.objectiveDeadline())
 }
 
-// defaultObjective stands in for the objective of calls that have none, to order
+// defaultObjective is the objective assumed for calls that have none, to order
 // them among the others.
 const defaultObjective = time.Second
 
--- a/node/seeder/seeder.go
+++ b/node/seeder/seeder.go
@@ -1,5 +1,5 @@
 // Package seeder provides the seed peers of a starting node, from its settings or
-// from the seed records in the store. The first member of each availability zone
+// from the seed records in the store. The root of each availability zone in tree 0
 // maintains the record of the zone.
 package seeder
 
