--- a/bench/stresser/leave.go
+++ b/bench/stresser/leave.go
@@ -30,9 +30,9 @@
 
 // departureSettings have a queue and timeouts that tolerate a busy machine
 // stopping processes for a second, so that refused or lost calls are caused by
-// the departure: with the queue of serviceSettings, a load average of 46 to 58
-// caused up to 229 of 1,200 calls to be refused as queue-full. A single attempt
-// keeps a retry from hiding a call that an upstream or its node lost.
+// the departure. With the queue of serviceSettings, a busy machine causes calls to
+// be refused as queue-full. A single attempt keeps a retry from hiding a call that
+// an upstream or its node lost.
 const departureSettings = `team: quoting
 services:
   quote-desk: {slots: 6, queue: 1024, connections: 130, timeout: 20s, idle: 20s, warmup: 0s}
